--- a/packages/wigeonarch-core/src/wigeonarch_core/acceptance.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/acceptance.py
@@ -25,7 +25,7 @@
 from wigeonarch_core.records import LeaseRecord
 
 
-class Lagging(msgspec.Struct, frozen=True, order=True):
+class LaggingInstance(msgspec.Struct, frozen=True, order=True):
     """An instance that is not known to have a change in force."""
 
     zone: str
@@ -53,7 +53,7 @@
     settled: bool
 
 
-def member(
+def build_member(
     record: LeaseRecord, beat: Heartbeat | None, number: int, leased: bool, listed: bool
 ) -> Member:
     """Returns what counts of a peer for change `number`.
@@ -76,12 +76,14 @@
     )
 
 
-def lagging(number: int, members: Iterable[Member]) -> tuple[Lagging, ...]:
+def find_lagging(number: int, members: Iterable[Member]) -> tuple[LaggingInstance, ...]:
     """Returns the instances that keep change `number` from being accepted."""
     known = list(members)
     covered = {m.zone for m in known if m.leased and m.settled and m.applied >= number}
     return tuple(
-        sorted(Lagging(m.zone, m.name) for m in known if _lacks(m, number, m.zone in covered))
+        sorted(
+            LaggingInstance(m.zone, m.name) for m in known if _lacks(m, number, m.zone in covered)
+        )
     )
 
 
--- a/packages/wigeonarch-core/src/wigeonarch_core/admission.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/admission.py
@@ -19,34 +19,36 @@
         taken: Requests in progress.
     """
 
-    __slots__ = ("_callers", "_places", "taken")
+    __slots__ = ("_callers", "_limit", "in_progress")
 
-    def __init__(self, places: int) -> None:
-        self._places = places
+    def __init__(self, limit: int) -> None:
+        self._limit = limit
         self._callers: Counter[str] = Counter()
-        self.taken = 0
+        self.in_progress = 0
 
-    def enter(self, caller: str) -> Reason | None:
+    def try_admit(self, caller: str) -> Reason | None:
         """Takes a place for a caller; returns why not if there is none for it."""
-        if self.taken >= self._places:
+        if self.in_progress >= self._limit:
             return Reason.CONCURRENCY
-        if 2 * self.taken >= self._places and self._callers[caller] >= self._share(caller):
+        if 2 * self.in_progress >= self._limit and self._callers[caller] >= self._fair_share(
+            caller
+        ):
             return Reason.FAIR_SHARE
-        self.taken += 1
+        self.in_progress += 1
         self._callers[caller] += 1
         return None
 
-    def leave(self, caller: str) -> None:
+    def release(self, caller: str) -> None:
         """Gives a place back."""
-        self.taken -= 1
+        self.in_progress -= 1
         self._callers[caller] -= 1
         if not self._callers[caller]:
             del self._callers[caller]
 
-    def held(self, caller: str) -> int:
+    def count_of(self, caller: str) -> int:
         """Returns the places that a caller holds."""
         return self._callers.get(caller, 0)
 
-    def _share(self, caller: str) -> float:
+    def _fair_share(self, caller: str) -> float:
         present = len(self._callers) + (0 if self._callers.get(caller) else 1)
-        return self._places / max(1, present)
+        return self._limit / max(1, present)
--- a/packages/wigeonarch-core/src/wigeonarch_core/backoff.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/backoff.py
@@ -9,56 +9,56 @@
 from dataclasses import dataclass
 from typing import Final
 
-from wigeonarch_core.homes import score
 from wigeonarch_core.policy_options import PolicyOptions
 from wigeonarch_core.refs import AdapterVersion
+from wigeonarch_core.rendezvous import score
 
-JITTER_LEAST: Final = 0.5
+MIN_JITTER: Final = 0.5
 HASH_RANGE: Final = 1 << 64
 
 
 @dataclass(slots=True)
 class _Failures:
     count: int = 0
-    until: float = 0.0
+    retry_at: float = 0.0
 
 
 class LoadBackoff:
     """Failed loads of one engine."""
 
-    __slots__ = ("_engine", "_failures", "_opts")
+    __slots__ = ("_engine", "_failures", "_policy")
 
     def __init__(self, engine: str, opts: PolicyOptions) -> None:
         self._engine = engine
-        self._opts = opts
+        self._policy = opts
         self._failures: dict[AdapterVersion, _Failures] = {}
 
-    def may_try(self, target: AdapterVersion, now: float) -> bool:
+    def may_load(self, target: AdapterVersion, now: float) -> bool:
         """Tells whether a load may be tried."""
         failures = self._failures.get(target)
-        return failures is None or now >= failures.until
+        return failures is None or now >= failures.retry_at
 
     def remaining(self, target: AdapterVersion, now: float) -> float:
         """Returns the seconds until a load may be tried."""
         failures = self._failures.get(target)
-        return 0.0 if failures is None else max(0.0, failures.until - now)
+        return 0.0 if failures is None else max(0.0, failures.retry_at - now)
 
     def exhausted(self, target: AdapterVersion) -> bool:
         """Tells whether the load has failed so often in a row that nobody should wait for it."""
         failures = self._failures.get(target)
-        return failures is not None and failures.count >= self._opts.load_attempts
+        return failures is not None and failures.count >= self._policy.load_attempts
 
-    def succeeded(self, target: AdapterVersion) -> None:
+    def record_success(self, target: AdapterVersion) -> None:
         """Forgets earlier failures."""
         self._failures.pop(target, None)
 
-    def failed(self, target: AdapterVersion, now: float) -> None:
+    def record_failure(self, target: AdapterVersion, now: float) -> None:
         """Counts a failure and sets the time of the next try."""
         failures = self._failures.setdefault(target, _Failures())
-        wait = min(self._opts.load_backoff * 2.0**failures.count, self._opts.load_backoff_limit)
+        wait = min(self._policy.load_backoff * 2.0**failures.count, self._policy.load_backoff_limit)
         failures.count += 1
-        failures.until = now + wait * self._jitter(target, failures.count)
+        failures.retry_at = now + wait * self._jitter(target, failures.count)
 
     def _jitter(self, target: AdapterVersion, count: int) -> float:
         share = score(f"{target}#{count}", self._engine) / HASH_RANGE
-        return JITTER_LEAST + (1.0 - JITTER_LEAST) * share
+        return MIN_JITTER + (1.0 - MIN_JITTER) * share
--- a/packages/wigeonarch-core/src/wigeonarch_core/catalogue.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/catalogue.py
@@ -28,7 +28,7 @@
     parents_of,
 )
 
-REMEMBERED: Final = 2000
+MAX_REMEMBERED_RESULTS: Final = 2000
 
 
 class Catalogue:
@@ -65,13 +65,13 @@
         known = self._results.get(change.operation)
         if known is not None:
             return known
-        result = self.judge(number, change.mutation)
+        result = self.evaluate(number, change.mutation)
         if result.verdict is Verdict.APPLIED:
             self._carry_out(number, change.mutation)
         self._remember(change.operation, result)
         return result
 
-    def judge(self, number: int, mutation: Mutation) -> Result:
+    def evaluate(self, number: int, mutation: Mutation) -> Result:
         """Returns what would become of a mutation as change `number`, without applying it."""
         if isinstance(mutation, Delete):
             return self._judge_delete(number, mutation)
@@ -192,7 +192,7 @@
 
     def _remember(self, operation: str, result: Result) -> None:
         self._results[operation] = result
-        if len(self._results) > REMEMBERED:
+        if len(self._results) > MAX_REMEMBERED_RESULTS:
             self._results.popitem(last=False)
 
 
--- a/packages/wigeonarch-core/src/wigeonarch_core/circuit.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/circuit.py
@@ -15,8 +15,8 @@
 from wigeonarch_core.retry import full_jitter
 
 FAILURES_TO_OPEN: Final = 3
-PAUSE_LEAST: Final = 0.5
-PAUSE_MOST: Final = 15.0
+MIN_PAUSE: Final = 0.5
+MAX_PAUSE: Final = 15.0
 
 
 class State(enum.Enum):
@@ -32,22 +32,22 @@
 
     SUCCESS = "success"
     FAILURE = "failure"  # One too few to open a closed circuit.
-    LAST_FAILURE = "last_failure"  # The one that opens it.
+    OPENING_FAILURE = "last_failure"  # The one that opens it.
     PROBE = "probe"  # The pause is over and a call is tried.
 
 
 TRANSITIONS: Final[dict[tuple[State, Event], State]] = {
     (State.CLOSED, Event.SUCCESS): State.CLOSED,
     (State.CLOSED, Event.FAILURE): State.CLOSED,
-    (State.CLOSED, Event.LAST_FAILURE): State.OPEN,
+    (State.CLOSED, Event.OPENING_FAILURE): State.OPEN,
     # Calls that began before the circuit opened may still end afterwards.
     (State.OPEN, Event.SUCCESS): State.CLOSED,
     (State.OPEN, Event.FAILURE): State.OPEN,
-    (State.OPEN, Event.LAST_FAILURE): State.OPEN,
+    (State.OPEN, Event.OPENING_FAILURE): State.OPEN,
     (State.OPEN, Event.PROBE): State.PROBING,
     (State.PROBING, Event.SUCCESS): State.CLOSED,
     (State.PROBING, Event.FAILURE): State.OPEN,
-    (State.PROBING, Event.LAST_FAILURE): State.OPEN,
+    (State.PROBING, Event.OPENING_FAILURE): State.OPEN,
     # The probe was given up on without a verdict: another may follow.
     (State.PROBING, Event.PROBE): State.PROBING,
 }
@@ -57,11 +57,11 @@
 class _Circuit:
     state: State = State.CLOSED
     failures: int = 0
-    opened: int = 0
+    times_opened: int = 0
     retry_at: float = 0.0
 
 
-class Circuits:
+class CircuitBreakers:
     """Circuits of the endpoints that an instance calls."""
 
     __slots__ = ("_circuits", "_rng")
@@ -82,7 +82,7 @@
             return 0.0
         return max(0.0, circuit.retry_at - now)
 
-    def calling(self, endpoint: str, now: float) -> None:
+    def begin_call(self, endpoint: str, now: float) -> None:
         """Notes that a call begins; it is the probe if the circuit is not closed.
 
         Until the probe ends, or a pause has passed without its end, no other call is tried.
@@ -90,29 +90,29 @@
         circuit = self._circuits.get(endpoint)
         if circuit is None or circuit.state is State.CLOSED:
             return
-        self._move(circuit, Event.PROBE)
-        circuit.retry_at = now + PAUSE_MOST
+        self._transition(circuit, Event.PROBE)
+        circuit.retry_at = now + MAX_PAUSE
 
-    def succeeded(self, endpoint: str) -> None:
+    def record_success(self, endpoint: str) -> None:
         """Notes that an endpoint answered."""
         circuit = self._circuits.get(endpoint)
         if circuit is not None:
-            self._move(circuit, Event.SUCCESS)
+            self._transition(circuit, Event.SUCCESS)
             del self._circuits[endpoint]
 
-    def failed(self, endpoint: str, now: float) -> None:
+    def record_failure(self, endpoint: str, now: float) -> None:
         """Notes that an endpoint could not be reached, or went silent."""
         circuit = self._circuits.setdefault(endpoint, _Circuit())
         circuit.failures += 1
         last = circuit.failures >= FAILURES_TO_OPEN
         before = circuit.state
-        self._move(circuit, Event.LAST_FAILURE if last else Event.FAILURE)
+        self._transition(circuit, Event.OPENING_FAILURE if last else Event.FAILURE)
         if circuit.state is State.OPEN and before is not State.OPEN:
             # At least half of the bound, since a pause near 0 would be no pause.
-            bound = full_jitter(circuit.opened, PAUSE_LEAST, PAUSE_MOST, self._rng)
-            floor = min(PAUSE_MOST, PAUSE_LEAST * 2.0**circuit.opened) / 2
+            bound = full_jitter(circuit.times_opened, MIN_PAUSE, MAX_PAUSE, self._rng)
+            floor = min(MAX_PAUSE, MIN_PAUSE * 2.0**circuit.times_opened) / 2
             circuit.retry_at = now + floor + bound / 2
-            circuit.opened += 1
+            circuit.times_opened += 1
 
     def forget(self, endpoint: str) -> None:
         """Forgets an endpoint that is gone."""
@@ -123,5 +123,5 @@
         circuit = self._circuits.get(endpoint)
         return circuit.state if circuit else State.CLOSED
 
-    def _move(self, circuit: _Circuit, event: Event) -> None:
+    def _transition(self, circuit: _Circuit, event: Event) -> None:
         circuit.state = TRANSITIONS[circuit.state, event]
--- a/packages/wigeonarch-core/src/wigeonarch_core/rests.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/cooldowns.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 
-class Rests:
+class Cooldowns:
     """The rests that were asked for."""
 
     __slots__ = ("_until",)
@@ -18,7 +18,7 @@
         """Knows of none."""
         self._until: dict[str, float] = {}
 
-    def asked(self, endpoint: str, seconds: float, now: float) -> bool:
+    def start(self, endpoint: str, seconds: float, now: float) -> bool:
         """Notes a rest that an endpoint asks for; returns whether it had none before."""
         self._until = {name: until for name, until in self._until.items() if until > now}
         fresh = endpoint not in self._until
@@ -29,10 +29,10 @@
         """Forgets the rest of an endpoint that started again."""
         self._until.pop(endpoint, None)
 
-    def left(self, endpoint: str, now: float) -> float:
+    def remaining(self, endpoint: str, now: float) -> float:
         """Returns the seconds for which nothing may be sent to an endpoint."""
         return max(0.0, self._until.get(endpoint, now) - now)
 
-    def any(self, now: float) -> bool:
+    def any_active(self, now: float) -> bool:
         """Tells whether any endpoint is to be left alone."""
         return any(until > now for until in self._until.values())
--- a/packages/wigeonarch-core/src/wigeonarch_core/decisions.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/decisions.py
@@ -18,8 +18,8 @@
         stalled: The part of it spent waiting for a load.
     """
 
-    ask: str
-    asker: str
+    dispatch_id: str
+    requester: str
     waited: float
     stalled: float
 
@@ -34,8 +34,8 @@
         retry_after: Seconds after which a new try makes sense.
     """
 
-    ask: str
-    asker: str
+    dispatch_id: str
+    requester: str
     reason: Reason
     retry_after: float
 
--- a/packages/wigeonarch-core/src/wigeonarch_core/doubt.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/endpoint_health.py
@@ -12,21 +12,21 @@
 from dataclasses import dataclass
 from typing import Final
 
-PAUSE_FIRST: Final = 0.5  # Seconds; about the objective of the most urgent requests.
-PAUSE_MOST: Final = 4.0  # Seconds; a crashed endpoint is back within a few seconds.
-FAILURE_WEIGHT: Final = 0.15  # Weight of one answer in the failing share: about the last ten count.
+MIN_PAUSE: Final = 0.5  # Seconds; about the objective of the most urgent requests.
+MAX_PAUSE: Final = 4.0  # Seconds; a crashed endpoint is back within a few seconds.
+ANSWER_WEIGHT: Final = 0.15  # Weight of one answer in the failing share: about the last ten count.
 
 
 @dataclass(slots=True)
 class _Evidence:
-    failing: float = 0.0
+    failure_share: float = 0.0
     answers: int = 0
     pauses: int = 0
-    shut_until: float = 0.0
-    trying: bool = False
+    paused_until: float = 0.0
+    probing: bool = False
 
 
-class Doubts:
+class EndpointHealth:
     """Evidence about the endpoints that an instance sends to."""
 
     __slots__ = ("_evidence",)
@@ -34,47 +34,47 @@
     def __init__(self) -> None:
         self._evidence: dict[str, _Evidence] = {}
 
-    def shut(self, endpoint: str, now: float) -> bool:
+    def is_paused(self, endpoint: str, now: float) -> bool:
         """Tells whether nothing should be sent to an endpoint now."""
         found = self._evidence.get(endpoint)
         if found is None or not found.pauses:
             return False
-        return now < found.shut_until or found.trying
+        return now < found.paused_until or found.probing
 
-    def sending(self, endpoint: str, now: float) -> None:
+    def record_send(self, endpoint: str, now: float) -> None:
         """Notes that a request is sent; after a pause it is the one that tries the endpoint."""
         found = self._evidence.get(endpoint)
         if found is not None and found.pauses:
-            found.trying = True
-            found.shut_until = max(found.shut_until, now + PAUSE_FIRST)
+            found.probing = True
+            found.paused_until = max(found.paused_until, now + MIN_PAUSE)
 
-    def answered(self, endpoint: str, failed: bool) -> None:
+    def record_answer(self, endpoint: str, failed: bool) -> None:
         """Notes an answer of the endpoint itself."""
         found = self._evidence.setdefault(endpoint, _Evidence())
-        found.failing += FAILURE_WEIGHT * (float(failed) - found.failing)
+        found.failure_share += ANSWER_WEIGHT * (float(failed) - found.failure_share)
         found.answers += 1
         found.pauses = 0
-        found.trying = False
+        found.probing = False
 
-    def released(self, endpoint: str) -> None:
+    def end_probe(self, endpoint: str) -> None:
         """Notes that a try ended without a verdict."""
         found = self._evidence.get(endpoint)
         if found is not None:
-            found.trying = False
+            found.probing = False
 
-    def unreachable(self, endpoint: str, now: float) -> None:
+    def record_unreachable(self, endpoint: str, now: float) -> None:
         """Notes that a connection failed, was lost or stayed silent."""
         found = self._evidence.setdefault(endpoint, _Evidence())
-        tried, found.trying = found.trying, False
-        if now < found.shut_until and not tried:
+        tried, found.probing = found.probing, False
+        if now < found.paused_until and not tried:
             return  # Sent before the pause began: no new evidence.
-        found.shut_until = now + min(PAUSE_MOST, PAUSE_FIRST * 2.0**found.pauses)
+        found.paused_until = now + min(MAX_PAUSE, MIN_PAUSE * 2.0**found.pauses)
         found.pauses += 1
 
-    def failing(self, endpoint: str) -> float:
+    def failure_share(self, endpoint: str) -> float:
         """Returns the recent share of answers that were failures, from 0 to 1."""
         found = self._evidence.get(endpoint)
-        return found.failing if found else 0.0
+        return found.failure_share if found else 0.0
 
     def forget(self, endpoint: str) -> None:
         """Forgets an endpoint that is gone."""
--- a/packages/wigeonarch-core/src/wigeonarch_core/holding.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/endpoint_ownership.py
@@ -30,13 +30,13 @@
 
 import msgspec
 
-from wigeonarch_core.homes import ranked
+from wigeonarch_core.rendezvous import ranked
 
 NEVER: Final = float("-inf")  # Before all times.
 UNKNOWN_ERA: Final = -1  # Before all eras.
 FIRST_ERA: Final = 0  # Of a store that never came back from a copy.
 # Seconds in which a holder goes on by what it wrote in an earlier era, until it is written again.
-CONFIRMED_WITHIN: Final = 1.0
+REWRITE_GRACE: Final = 1.0
 
 
 @dataclass(slots=True)
@@ -52,31 +52,31 @@
     number: int = UNKNOWN_ERA
     since: float = NEVER
 
-    def saw(self, number: int, now: float) -> None:
+    def observe(self, number: int, now: float) -> None:
         """Notes the era that the store is in."""
         if number > self.number:
             self.since = NEVER if number == FIRST_ERA else now
             self.number = number
 
-    def settled(self, term: float, margin: float, pause: float) -> float:
+    def settled_at(self, term: float, margin: float, pause: float) -> float:
         """Returns the time from which no holder of the era before can be in the way.
 
         One that reached the store until the era began holds for a term more, hears of the era by
         its next renewal at the latest, and then stops unless its object is written again.
         """
-        return self.since + term + margin + CONFIRMED_WITHIN + pause
+        return self.since + term + margin + REWRITE_GRACE + pause
 
-    def unconfirmed(self, written: int, now: float) -> bool:
+    def must_stop(self, written: int, now: float) -> bool:
         """Tells whether a holder must stop that wrote its object in an earlier era.
 
         One that did not write it in the era between may have had to stop in that.
         """
         if written == self.number - 1:
-            return now >= self.since + CONFIRMED_WITHIN
+            return now >= self.since + REWRITE_GRACE
         return written < self.number
 
 
-class HolderRecord(msgspec.Struct, frozen=True):
+class EndpointOwner(msgspec.Struct, frozen=True):
     """Who holds an endpoint, by the store.
 
     Attributes:
@@ -88,10 +88,10 @@
     """
 
     endpoint: str
-    holder: str
+    owner: str
     revision: int
     taken_over: bool = False
-    current: bool = True
+    in_current_era: bool = True
 
 
 class Claim(msgspec.Struct, frozen=True):
@@ -108,7 +108,7 @@
     endpoint: str
     revision: int
     pause: float
-    settled: bool = False
+    no_earlier_owner: bool = False
 
 
 @dataclass(slots=True)
@@ -118,7 +118,7 @@
     read: float = float("-inf")
 
 
-class Observed:
+class ObservedLeases:
     """Leases of other instances, as their heartbeats tell and as read from the store."""
 
     __slots__ = ("_leases", "_margin", "_term")
@@ -128,7 +128,7 @@
         self._margin = margin
         self._leases: dict[str, _Seen] = {}
 
-    def told(self, instance: str, revision: int, left: float, now: float) -> None:
+    def record_heartbeat(self, instance: str, revision: int, left: float, now: float) -> None:
         """Notes what a heartbeat tells: the lease's revision, and the seconds that it has left."""
         seen = self._leases.get(instance)
         if seen is None or revision > seen.revision:
@@ -137,34 +137,34 @@
             # Promises extend a lease without a write.
             seen.ends = max(seen.ends, now + left)
 
-    def read(self, instance: str, revision: int, now: float) -> None:
+    def record_read(self, instance: str, revision: int, now: float) -> None:
         """Notes the revision of a lease that was just read; 0 when it does not exist."""
         seen = self._leases.get(instance)
         if seen is None or revision > seen.revision:
             seen = self._leases[instance] = _Seen(revision, now + self._term)
         seen.read = now
 
-    def lapsed(self, instance: str) -> bool:
+    def has_lapsed(self, instance: str) -> bool:
         """Tells whether a read after the end of the lease showed it unchanged."""
         seen = self._leases.get(instance)
         return seen is not None and seen.read > seen.ends + self._margin
 
 
-def wanted_holder(endpoint: str, instances: list[str]) -> str | None:
+def preferred_owner(endpoint: str, instances: list[str]) -> str | None:
     """Returns the instance that should hold an endpoint that nobody holds."""
     return ranked(endpoint, instances)[0] if instances else None
 
 
-def claim(
+def plan_claim(
     endpoint: str,
-    record: HolderRecord | None,
-    me: str,
+    record: EndpointOwner | None,
+    own_name: str,
     confirmed: bool,
     alive: Collection[str],
     candidates: list[str],
-    observed: Observed,
+    leases: ObservedLeases,
     pause: float,
-    keeps: bool = False,
+    owned_throughout: bool = False,
 ) -> Claim | None:
     """Returns the write that this instance should try for an endpoint, if any.
 
@@ -181,16 +181,16 @@
         keeps: Whether this process has held the endpoint in the present stretch of its lease all
             along, whatever the store has of it.
     """
-    if keeps and not confirmed and (record is None or not record.current):
+    if owned_throughout and not confirmed and (record is None or not record.in_current_era):
         return Claim(endpoint, record.revision if record else 0, 0.0)
-    if record is not None and record.holder == me:
-        settled = record.current and not record.taken_over
+    if record is not None and record.owner == own_name:
+        settled = record.in_current_era and not record.taken_over
         wait = 0.0 if settled else pause
         return None if confirmed else Claim(endpoint, record.revision, wait, settled)
-    if wanted_holder(endpoint, candidates) != me:
+    if preferred_owner(endpoint, candidates) != own_name:
         return None
     if record is None:
         return Claim(endpoint, 0, 0.0)
-    if record.holder in alive or not observed.lapsed(record.holder):
+    if record.owner in alive or not leases.has_lapsed(record.owner):
         return None
     return Claim(endpoint, record.revision, pause)
--- a/packages/wigeonarch-core/src/wigeonarch_core/engine_choice.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/engine_choice.py
@@ -13,44 +13,44 @@
 
 import msgspec
 
-from wigeonarch_core.load_pace import COLD_LOAD, WARM_LOAD
+from wigeonarch_core.load_time import COLD_LOAD, WARM_LOAD
 
 # Adapters on their way to one engine at once; engines refuse more.
-LOADS_AT_ONCE: Final = 4
+MAX_CONCURRENT_LOADS: Final = 4
 # What a load costs besides its time, in seconds of waiting. A fetch has a price of its own: about
 # a third of what an answer in time is worth, and waiting becomes lateness within a second.
-WARM_COST: Final = 0.03
-COLD_COST: Final = 0.3
+WARM_LOAD_COST: Final = 0.03
+COLD_LOAD_COST: Final = 0.3
 # An old version can be replaced only when no request uses it, which takes a second or two.
 REPLACE_COST: Final = 0.6
 # Prompt tokens that an engine reads in a second, and what each running request adds to a step:
 # only the order of engines depends on them, so a rough value does.
-READ_RATE: Final = 19_000.0
-RUNNING_COST: Final = 0.003
+PREFILL_RATE: Final = 19_000.0
+STEP_TIME_PER_REQUEST: Final = 0.003
 # Seconds that a request runs, about: both users' streams take one to three.
-RUN_TIME: Final = 2.0
+TYPICAL_RUN_TIME: Final = 2.0
 # What the traffic between availability zones is worth, in seconds of waiting; a cut between zones
 # also loses the streams that cross it.
-ZONE_COST: Final = 0.05
+CROSS_ZONE_COST: Final = 0.05
 # What it is worth not to make a stream pause for longer than allowed, in seconds of waiting.
 # Engines read prompts between the tokens of running requests; where prompts that take about the
 # longest pause are sent within that time, all streams there are late. Worth more, it would buy
 # loads elsewhere that serve nobody sooner.
-PAUSE_COST: Final = 0.01  # A stream, where all of the longest pause is read.
-PAUSES_MOST: Final = 4.0
+STALL_COST: Final = 0.01  # A stream, where all of the longest pause is read.
+MAX_STALL_FACTOR: Final = 4.0
 # Part of the longest pause that prompts sent lately may take until the next one is held back.
-CROWDED: Final = 0.6
+CROWDED_STALL_RATIO: Final = 0.6
 # An engine whose KV cache is nearly full preempts requests, which then start anew.
-MEMORY_FULL: Final = 0.88
-MEMORY_COST: Final = 2.0
+KV_CACHE_FULL: Final = 0.88
+KV_CACHE_FULL_COST: Final = 2.0
 FAILURE_COST: Final = 1.0
 # Streams of an engine five times slower than usual are mostly late by their pauses, which is
 # worth about as much as a load elsewhere costs.
-SLOW_COST: Final = 0.1
+SLOWNESS_COST: Final = 0.1
 # Places are short when hardly any copy can go. A load that finds none waits for a running request
 # to end, which takes seconds; the cost rises over the last few, so that engines fill up evenly.
 NO_PLACE_COST: Final = 1.0
-PLACES_SHORT: Final = 4
+SCARCE_PLACES: Final = 4
 
 
 class EngineState(msgspec.Struct, frozen=True):
@@ -98,7 +98,7 @@
     largest_pause: float = 0.0
 
 
-class Choice(msgspec.Struct, frozen=True):
+class EngineChoice(msgspec.Struct, frozen=True):
     """An engine to send to, or to ask for a load.
 
     Attributes:
@@ -114,9 +114,9 @@
     crowded: bool = False
 
 
-def choose(
+def choose_engine(
     states: Iterable[EngineState], prompt_tokens: int, draw: Callable[[], float] = lambda: 0.0
-) -> Choice | None:
+) -> EngineChoice | None:
     """Returns the best engine, or None when none can run the request.
 
     Args:
@@ -126,32 +126,32 @@
             lag; without chance, all instances would send to the same engine until the next news.
     """
     states = list(states)
-    unavoidable = _unavoidable_pauses(states, prompt_tokens)
+    unavoidable = _least_stall_costs(states, prompt_tokens)
     expected = [
         (choice, state)
         for state in states
-        if (choice := _expect(state, prompt_tokens, unavoidable[state.holds, state.same_zone]))
+        if (choice := _estimate(state, prompt_tokens, unavoidable[state.holds, state.same_zone]))
     ]
     if not expected:
         return None
     _, best = min(expected, key=lambda pair: pair[0].expected)
     # Chance decides among engines that are alike: it buys no load and no way between zones.
-    alike = [choice for choice, state in expected if _kind(state) == _kind(best)]
+    alike = [choice for choice, state in expected if _cost_class(state) == _cost_class(best)]
     return min(alike, key=lambda choice: choice.expected + draw())
 
 
-def _kind(state: EngineState) -> tuple[bool, bool, bool, bool]:
+def _cost_class(state: EngineState) -> tuple[bool, bool, bool, bool]:
     """Returns what makes engines alike: what sending there costs besides waiting."""
     return state.holds, state.loading_left is not None, state.warm, state.same_zone
 
 
-def choose_again(
+def choose_engine_after_load_request(
     states: Sequence[EngineState],
     prompt_tokens: int,
-    asked: str,
-    patient: bool,
+    loading_engine: str,
+    keep_waiting: bool,
     draw: Callable[[], float] = lambda: 0.0,
-) -> Choice | None:
+) -> EngineChoice | None:
     """Returns the best engine for a request that may have asked one for a load already.
 
     While it is patient it stays with that one, so that no two engines load for one request;
@@ -164,13 +164,15 @@
         patient: Whether that was just now.
         draw: As for `choose`.
     """
-    if not asked:
-        return choose(states, prompt_tokens, draw)
-    preferred = [s for s in states if s.holds or (s.endpoint == asked) is patient]
-    return choose(preferred, prompt_tokens, draw) or choose(states, prompt_tokens, draw)
+    if not loading_engine:
+        return choose_engine(states, prompt_tokens, draw)
+    preferred = [s for s in states if s.holds or (s.endpoint == loading_engine) is keep_waiting]
+    return choose_engine(preferred, prompt_tokens, draw) or choose_engine(
+        states, prompt_tokens, draw
+    )
 
 
-def _unavoidable_pauses(
+def _least_stall_costs(
     states: Iterable[EngineState], prompt_tokens: int
 ) -> dict[tuple[bool, bool], float]:
     """Returns the least that pauses cost among engines that are alike, by what makes them so.
@@ -182,11 +184,11 @@
     least: dict[tuple[bool, bool], float] = {}
     for state in states:
         alike = state.holds, state.same_zone
-        least[alike] = min(least.get(alike, float("inf")), _pausing(state, prompt_tokens))
+        least[alike] = min(least.get(alike, float("inf")), _stall_cost(state, prompt_tokens))
     return least
 
 
-def _expect(state: EngineState, prompt_tokens: int, unavoidable: float) -> Choice | None:
+def _estimate(state: EngineState, prompt_tokens: int, unavoidable: float) -> EngineChoice | None:
     load = price = 0.0
     if not state.holds:
         if state.loading_left is not None:
@@ -195,35 +197,37 @@
             return None
         else:
             load = state.load_time * (WARM_LOAD / COLD_LOAD if state.warm else 1.0)
-            price = WARM_COST if state.warm else COLD_COST
+            price = WARM_LOAD_COST if state.warm else COLD_LOAD_COST
             price += REPLACE_COST if state.replaces else 0.0
             # What is loaded next waits for those that are on their way, four at a time.
-            load += state.load_time * (state.loading // LOADS_AT_ONCE)
-            short = max(0, PLACES_SHORT - state.free_places) / PLACES_SHORT
+            load += state.load_time * (state.loading // MAX_CONCURRENT_LOADS)
+            short = max(0, SCARCE_PLACES - state.free_places) / SCARCE_PLACES
             price += NO_PLACE_COST * short * short
-    reading = state.slowness * (state.waiting_tokens + prompt_tokens) / READ_RATE
-    wait = max(load + state.slowness * prompt_tokens / READ_RATE, reading)
+    reading = state.slowness * (state.waiting_tokens + prompt_tokens) / PREFILL_RATE
+    wait = max(load + state.slowness * prompt_tokens / PREFILL_RATE, reading)
     # Running requests slow each step while prompts are read piece by piece.
-    wait += state.slowness * RUNNING_COST * state.running
+    wait += state.slowness * STEP_TIME_PER_REQUEST * state.running
     # Requests beyond the batch wait until others end.
-    wait += state.slowness * RUN_TIME * beyond(state.running, state.batch)
-    price += SLOW_COST * (state.slowness - 1.0)
+    wait += state.slowness * TYPICAL_RUN_TIME * batch_excess(state.running, state.batch)
+    price += SLOWNESS_COST * (state.slowness - 1.0)
     if not state.same_zone:
-        wait += ZONE_COST
-    if state.kv_total and state.kv_tokens + prompt_tokens > MEMORY_FULL * state.kv_total:
-        wait += MEMORY_COST
+        wait += CROSS_ZONE_COST
+    if state.kv_total and state.kv_tokens + prompt_tokens > KV_CACHE_FULL * state.kv_total:
+        wait += KV_CACHE_FULL_COST
     wait += price + FAILURE_COST * state.failing
-    wait += _pausing(state, prompt_tokens) - unavoidable
-    crowded = state.running > 0 and stalls(state, 0) > CROWDED
-    return Choice(state.endpoint, not state.holds, wait, crowded)
+    wait += _stall_cost(state, prompt_tokens) - unavoidable
+    crowded = state.running > 0 and stall_ratio(state, 0) > CROWDED_STALL_RATIO
+    return EngineChoice(state.endpoint, not state.holds, wait, crowded)
 
 
-def beyond(running: int, batch: int) -> float:
+def batch_excess(running: int, batch: int) -> float:
     """Returns the requests beyond an engine's batch, were one more sent, in batches."""
     return max(0, running + 1 - batch) / max(1, batch)
 
 
-def until_first_token(waiting_tokens: float, prompt_tokens: int, running: int, batch: int) -> float:
+def expected_first_token(
+    waiting_tokens: float, prompt_tokens: int, running: int, batch: int
+) -> float:
     """Returns the expected seconds until a request's first token at an engine that is as usual.
 
     Args:
@@ -232,18 +236,20 @@
         running: Requests there.
         batch: Requests that run at once.
     """
-    reading = (waiting_tokens + prompt_tokens) / READ_RATE
-    return reading + RUNNING_COST * running + RUN_TIME * beyond(running, batch)
+    reading = (waiting_tokens + prompt_tokens) / PREFILL_RATE
+    return (
+        reading + STEP_TIME_PER_REQUEST * running + TYPICAL_RUN_TIME * batch_excess(running, batch)
+    )
 
 
-def stalls(state: EngineState, prompt_tokens: int) -> float:
+def stall_ratio(state: EngineState, prompt_tokens: int) -> float:
     """Returns how much of the longest pause in time is read there, were a prompt sent now."""
     if not state.largest_pause:
         return 0.0
-    return (state.recent_tokens + prompt_tokens) / READ_RATE / state.largest_pause
+    return (state.recent_tokens + prompt_tokens) / PREFILL_RATE / state.largest_pause
 
 
-def _pausing(state: EngineState, prompt_tokens: int) -> float:
+def _stall_cost(state: EngineState, prompt_tokens: int) -> float:
     """Returns what the pauses of running streams cost that a prompt adds to."""
-    part = stalls(state, prompt_tokens)
-    return PAUSE_COST * state.running * min(PAUSES_MOST, part * part)
+    part = stall_ratio(state, prompt_tokens)
+    return STALL_COST * state.running * min(MAX_STALL_FACTOR, part * part)
--- a/packages/wigeonarch-core/src/wigeonarch_core/custody.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/engine_grants.py
@@ -16,11 +16,11 @@
 
 from wigeonarch_core.lease import HeldLease
 from wigeonarch_core.messages import DeclarePins, HeldPin, HeldPins
-from wigeonarch_core.ownership import Holding, confirmed
-from wigeonarch_core.quarantine import Quarantine
+from wigeonarch_core.ownership import HeldOwnership, is_confirmed
 from wigeonarch_core.refs import AdapterVersion
+from wigeonarch_core.takeover_quarantine import TakeoverQuarantine
 
-TOMBSTONES: Final = 10_000
+MAX_TOMBSTONES: Final = 10_000
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     at: float
 
 
-class Declared(msgspec.Struct, frozen=True):
+class DeclarationChanges(msgspec.Struct, frozen=True):
     """What a declaration changes.
 
     Attributes:
@@ -41,10 +41,10 @@
     """
 
     adopt: tuple[HeldPin, ...] = ()
-    gone: tuple[str, ...] = ()
+    ended: tuple[str, ...] = ()
 
 
-class Custody:
+class EngineGrants:
     """One owned engine.
 
     Attributes:
@@ -64,16 +64,16 @@
         "_validity",
         "announced",
         "engine",
-        "handing",
-        "holding",
+        "handing_over",
+        "ownership",
         "quarantine",
     )
 
     def __init__(
         self,
         engine: str,
-        holding: Holding,
-        quarantine: Quarantine | None,
+        holding: HeldOwnership,
+        quarantine: TakeoverQuarantine | None,
         *,
         announced: bool,
         validity: float,
@@ -88,10 +88,10 @@
             validity: Seconds for which a grant that was told can be accepted, with a margin.
         """
         self.engine = engine
-        self.holding = holding
+        self.ownership = holding
         self.quarantine = quarantine
         self.announced = announced
-        self.handing = False
+        self.handing_over = False
         self._validity = validity
         self._number = 0
         self._asked: OrderedDict[int, float] = OrderedDict()
@@ -100,72 +100,72 @@
 
     def may_act(self, lease: HeldLease, now: float) -> bool:
         """Tells whether the owner may grant, or give an order, now."""
-        if self.handing or not self.announced:
+        if self.handing_over or not self.announced:
             return False
-        return confirmed(self.holding, lease, now)
+        return is_confirmed(self.ownership, lease, now)
 
     def may_evict(self, target: AdapterVersion, now: float) -> bool:
         """Tells whether the quarantine allows a copy to go."""
         return self.quarantine is None or self.quarantine.may_evict(target, now)
 
-    def told(self, ask: str, asker: str, boot: str, now: float) -> None:
+    def record_grant(self, ask: str, asker: str, boot: str, now: float) -> None:
         """Notes that an asker is being told of a grant, perhaps again."""
         self._told[ask] = _Told(asker, boot, now)
 
-    def asks(self) -> list[str]:
+    def dispatch_ids(self) -> list[str]:
         """Returns the asks that are known to be pinned, or were until lately."""
         return list(self._told)
 
-    def holder(self, ask: str) -> tuple[str, str] | None:
+    def requester_of(self, ask: str) -> tuple[str, str] | None:
         """Returns the asker and the process that hold a pin."""
         told = self._told.get(ask)
         return None if told is None else (told.asker, told.boot)
 
-    def released(self, ask: str) -> None:
+    def record_release(self, ask: str) -> None:
         """Remembers that a pin has ended, so that an older declaration does not bring it back."""
         self._told.pop(ask, None)
         self._released[ask] = None
-        while len(self._released) > TOMBSTONES:
+        while len(self._released) > MAX_TOMBSTONES:
             self._released.popitem(last=False)
 
-    def ended(self, ask: str) -> bool:
+    def has_ended(self, ask: str) -> bool:
         """Tells whether a pin is known to have ended."""
         return ask in self._released
 
-    def ask_pins(self, owner: str, now: float) -> DeclarePins:
+    def request_declaration(self, owner: str, now: float) -> DeclarePins:
         """Makes a request for declarations."""
         self._number += 1
         self._asked[self._number] = now
         while len(self._asked) > 100:
             self._asked.popitem(last=False)
-        return DeclarePins(self.engine, owner, self.holding.fence, self._number)
+        return DeclarePins(self.engine, owner, self.ownership.fence, self._number)
 
-    def askers_to_ask(self, now: float) -> set[str]:
+    def instances_to_query(self, now: float) -> set[str]:
         """Returns the instances that should declare: undeclared ones, and holders of old pins."""
         old = {told.asker for told in self._told.values() if told.at + self._validity < now}
         return old | set(self.quarantine.undeclared() if self.quarantine else ())
 
-    def declared(self, held: HeldPins) -> Declared:
+    def apply_declaration(self, held: HeldPins) -> DeclarationChanges:
         """Judges a declaration; one that was not made to this ownership changes nothing."""
         asked = self._asked.get(held.number)
-        if held.fence != self.holding.fence or asked is None:
-            return Declared()
+        if held.fence != self.ownership.fence or asked is None:
+            return DeclarationChanges()
         if self.quarantine is not None:
-            self.quarantine.declared(held.asker)
-        listed = {pin.ask for pin in held.held}
+            self.quarantine.record_declaration(held.requester)
+        listed = {pin.dispatch_id for pin in held.pins}
         gone = [
             ask
             for ask, told in self._told.items()
-            if (told.asker, told.boot) == (held.asker, held.boot)
+            if (told.asker, told.boot) == (held.requester, held.boot)
             and ask not in listed
             and told.at + self._validity < asked
         ]
         for ask in gone:
-            self.released(ask)
-        adopt = [pin for pin in held.held if pin.ask not in self._released]
+            self.record_release(ask)
+        adopt = [pin for pin in held.pins if pin.dispatch_id not in self._released]
         for pin in adopt:
-            self._told.setdefault(pin.ask, _Told(held.asker, held.boot, asked))
-        return Declared(tuple(adopt), tuple(gone))
+            self._told.setdefault(pin.dispatch_id, _Told(held.requester, held.boot, asked))
+        return DeclarationChanges(tuple(adopt), tuple(gone))
 
     def forget(self, ask: str) -> None:
         """Forgets a pin that ended by itself: overdue, or lost with its engine's incarnation."""
--- a/packages/wigeonarch-core/src/wigeonarch_core/engine_pace.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/engine_latency.py
@@ -21,19 +21,19 @@
 from typing import Final
 
 # Part of an engine's evidence that one more first token replaces: the last five or six count.
-NEWEST: Final = 0.18
-FADES: Final = 4.0  # Seconds in which evidence loses half of its weight against none.
+SAMPLE_WEIGHT: Final = 0.18
+EVIDENCE_HALF_LIFE: Final = 4.0  # Seconds in which evidence loses half of its weight against none.
 # Weight of "as usual", in seconds of expectation: one first token of an idle engine.
-PRIOR: Final = 0.06
+PRIOR_EXPECTED: Final = 0.06
 # Part of what is usual over all engines that one first token replaces: the last hundred count.
-USUAL_SHARE: Final = 0.01
-LEAST: Final = 0.2  # Least and greatest slowness.
-MOST: Final = 20.0
+BASELINE_SAMPLE_WEIGHT: Final = 0.01
+MIN_RATIO: Final = 0.2  # Least and greatest slowness.
+MAX_RATIO: Final = 20.0
 # Times of what is usual from which an engine counts as slow; below it the difference is noise of
 # what else it happens to read.
-SLOW: Final = 2.0
+SLOW_RATIO: Final = 2.0
 # Seconds by which a first token may come later than expected before it counts as late: noise.
-OVERDUE: Final = 0.1
+OVERDUE_MARGIN: Final = 0.1
 
 
 @dataclass(slots=True)
@@ -53,34 +53,34 @@
 
 @dataclass(slots=True)
 class _Evidence:
-    took: float = 0.0
+    observed: float = 0.0
     expected: float = 0.0
     at: float = 0.0
 
 
-class EnginePaces:
+class EngineLatency:
     """Slowness of the engines that an instance sends to."""
 
-    __slots__ = ("_evidence", "_usual", "_waiting")
+    __slots__ = ("_baseline", "_evidence", "_waiting")
 
     def __init__(self) -> None:
         """Takes all engines to be as usual."""
         self._evidence: dict[str, _Evidence] = {}
         self._waiting: dict[str, dict[int, Wait]] = {}
-        self._usual = 1.0
+        self._baseline = 1.0
 
-    def sent(self, endpoint: str, expected: float, now: float) -> Wait:
+    def record_send(self, endpoint: str, expected: float, now: float) -> Wait:
         """Notes that a request was sent whose first token is expected within so many seconds."""
         wait = Wait(endpoint, now, expected)
         self._waiting.setdefault(endpoint, {})[id(wait)] = wait
         return wait
 
-    def first_token(self, wait: Wait, now: float) -> None:
+    def record_first_token(self, wait: Wait, now: float) -> None:
         """Notes a first token."""
-        self.ended(wait)
-        self._note(wait.endpoint, now - wait.since, wait.expected, now)
+        self.stop_waiting(wait)
+        self._add_sample(wait.endpoint, now - wait.since, wait.expected, now)
 
-    def ended(self, wait: Wait) -> None:
+    def stop_waiting(self, wait: Wait) -> None:
         """Notes that a request waits no more; one that ended otherwise says nothing."""
         waiting = self._waiting.get(wait.endpoint)
         if waiting is None or waiting.pop(id(wait), None) is None:
@@ -95,40 +95,42 @@
 
     def slowness(self, endpoint: str, now: float) -> float:
         """Returns how many times as long as usual an engine takes; 1 if it is not far slower."""
-        ratio = self.pace(endpoint, now) / self._usual
-        return ratio if ratio > SLOW else 1.0
+        ratio = self.latency_ratio(endpoint, now) / self._baseline
+        return ratio if ratio > SLOW_RATIO else 1.0
 
-    def pace(self, endpoint: str, now: float) -> float:
+    def latency_ratio(self, endpoint: str, now: float) -> float:
         """Returns how many times as long as the constants say an engine takes."""
         found = self._evidence.get(endpoint)
-        took, expected = PRIOR * self._usual, PRIOR
+        took, expected = PRIOR_EXPECTED * self._baseline, PRIOR_EXPECTED
         if found is not None:
-            weight = 0.5 ** ((now - found.at) / FADES)
-            took += weight * found.took
+            weight = 0.5 ** ((now - found.at) / EVIDENCE_HALF_LIFE)
+            took += weight * found.observed
             expected += weight * found.expected
-        oldest = self._overdue(endpoint, now)
+        oldest = self._oldest_overdue(endpoint, now)
         if oldest is not None:
             took += now - oldest.since
             expected += oldest.expected
-        return min(MOST, max(LEAST, took / expected))
+        return min(MAX_RATIO, max(MIN_RATIO, took / expected))
 
-    def _overdue(self, endpoint: str, now: float) -> Wait | None:
+    def _oldest_overdue(self, endpoint: str, now: float) -> Wait | None:
         """Returns the request that has waited longest, if for longer than usual there."""
         waiting = self._waiting.get(endpoint)
         if not waiting:
             return None
         oldest = next(iter(waiting.values()))
         found = self._evidence.get(endpoint)
-        usual = found.took / found.expected if found is not None and found.expected else 1.0
-        late = now - oldest.since > oldest.expected * max(1.0, usual) + OVERDUE
+        usual = found.observed / found.expected if found is not None and found.expected else 1.0
+        late = now - oldest.since > oldest.expected * max(1.0, usual) + OVERDUE_MARGIN
         return oldest if late else None
 
-    def _note(self, endpoint: str, took: float, expected: float, now: float) -> None:
+    def _add_sample(self, endpoint: str, took: float, expected: float, now: float) -> None:
         found = self._evidence.setdefault(endpoint, _Evidence(at=now))
-        fades = 0.5 ** ((now - found.at) / FADES)
-        found.took = fades * (1.0 - NEWEST) * found.took + took
-        found.expected = fades * (1.0 - NEWEST) * found.expected + expected
+        fades = 0.5 ** ((now - found.at) / EVIDENCE_HALF_LIFE)
+        found.observed = fades * (1.0 - SAMPLE_WEIGHT) * found.observed + took
+        found.expected = fades * (1.0 - SAMPLE_WEIGHT) * found.expected + expected
         found.at = now
-        ratio = max(LEAST, took / max(expected, PRIOR / 2))
+        ratio = max(MIN_RATIO, took / max(expected, PRIOR_EXPECTED / 2))
         # One that is far slower than usual says nothing of the others.
-        self._usual += USUAL_SHARE * (min(ratio, 2.0 * self._usual) - self._usual)
+        self._baseline += BASELINE_SAMPLE_WEIGHT * (
+            min(ratio, 2.0 * self._baseline) - self._baseline
+        )
--- a/packages/wigeonarch-core/src/wigeonarch_core/eviction.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/eviction.py
@@ -16,7 +16,7 @@
 from wigeonarch_core.slots import Slot, SlotTable
 
 
-def evictable(
+def is_evictable(
     target: AdapterVersion, slot: Slot, pins: PinTable, now: float, thrash_guard: float
 ) -> bool:
     """Tells whether a loaded copy may go without harm to a running request."""
@@ -25,7 +25,7 @@
     return now - slot.since >= thrash_guard
 
 
-def least_valuable(
+def choose_victim(
     slots: SlotTable,
     pins: PinTable,
     queue: FairQueue,
@@ -38,8 +38,8 @@
     candidates = [
         target
         for target, slot in slots.loaded()
-        if evictable(target, slot, pins, now, thrash_guard)
+        if is_evictable(target, slot, pins, now, thrash_guard)
         and allowed(target, now)
-        and not queue.held_by_target(target)
+        and not queue.count_by_target(target)
     ]
     return min(candidates, key=lambda target: (rates.rate(target, now), target), default=None)
--- a/packages/wigeonarch-core/src/wigeonarch_core/fleet.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/fleet.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from wigeonarch_core.lease import SeenLease
+from wigeonarch_core.lease import PeerLease
 from wigeonarch_core.listing import Listed, Presence, Role
 from wigeonarch_core.messages import EngineSummary, Heartbeat
 from wigeonarch_core.records import LeaseRecord, OwnerRecord
@@ -30,8 +30,8 @@
     """
 
     record: LeaseRecord
-    lease: SeenLease
-    heard: float | None = None
+    lease: PeerLease
+    heard_at: float | None = None
     heartbeat: Heartbeat | None = None
 
 
@@ -63,13 +63,13 @@
     """
 
     listed: Listed
-    left: bool = False
+    declared_leaving: bool = False
     incarnation: str = ""
 
     @property
     def leaving(self) -> bool:
         """Whether it must get no new work."""
-        return self.left or self.listed.state is Presence.LEAVING
+        return self.declared_leaving or self.listed.state is Presence.LEAVING
 
 
 @dataclass(slots=True)
@@ -93,22 +93,22 @@
             the last heartbeat in seconds.
     """
 
-    me: str
+    own_name: str
     zone: str
     boot: str
     margin: float
     term: float = 6.0
-    informed_at: float | None = None
+    initialized_at: float | None = None
     peers: dict[str, Peer] = field(default_factory=dict)
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
     entries: dict[str, Listed] = field(default_factory=dict)
     owners: dict[str, Ownership] = field(default_factory=dict)
     summaries: dict[str, EngineSummary] = field(default_factory=dict)
-    strangers: dict[str, float] = field(default_factory=dict)
-    _replaced: dict[tuple[str, str], SeenLease] = field(default_factory=dict)
+    unknown_peers: dict[str, float] = field(default_factory=dict)
+    _replaced: dict[tuple[str, str], PeerLease] = field(default_factory=dict)
     _stopped: set[tuple[str, str]] = field(default_factory=set)
 
-    def saw_list(self, items: Iterable[Listed]) -> None:
+    def observe_list(self, items: Iterable[Listed]) -> None:
         """Takes over the platform's list; endpoints missing from it are gone."""
         listed = list(items)
         self.entries = {item.name: item for item in listed if item.role is Role.ENTRY}
@@ -125,14 +125,14 @@
             self.endpoints[name] = Endpoint(item)
             return
         if known.listed.state is Presence.LEAVING and item.state is Presence.LIVE:
-            known.left = False
+            known.declared_leaving = False
         known.listed = item
 
-    def saw_lease(self, record: LeaseRecord, version: int, now: float) -> None:
+    def observe_lease(self, record: LeaseRecord, version: int, now: float) -> None:
         """Notes a lease record; one of an earlier process in this instance's name counts too."""
-        if record.instance == self.me:
+        if record.instance == self.own_name:
             if record.boot != self.boot:
-                seen = SeenLease(record.term, self.margin, version, now)
+                seen = PeerLease(record.term, self.margin, version, now)
                 self._replaced.setdefault((record.instance, record.boot), seen)
             return
         peer = self.peers.get(record.instance)
@@ -143,24 +143,24 @@
             return
         if version > peer.lease.version:
             peer.record = record
-        peer.lease.saw(version, now)
+        peer.lease.observe(version, now)
 
     def _saw_process(self, record: LeaseRecord, version: int, now: float) -> None:
         """Notes a new process; the one that it replaces may still run, with a lease that holds."""
         known = self.peers.get(record.instance)
         if known is not None:
-            former = SeenLease(known.record.term, self.margin, known.lease.version, now)
+            former = PeerLease(known.record.term, self.margin, known.lease.version, now)
             self._replaced[record.instance, known.record.boot] = former
-        seen = SeenLease(record.term, self.margin, version, now)
+        seen = PeerLease(record.term, self.margin, version, now)
         self.peers[record.instance] = Peer(record, seen)
 
-    def lost_lease(self, instance: str) -> None:
+    def observe_lease_deleted(self, instance: str) -> None:
         """Notes that a lease was deleted, which its holder does when it has stopped."""
         peer = self.peers.pop(instance, None)
         if peer is not None:
             self._stopped.add((instance, peer.record.boot))
 
-    def vacant(self, held: Ownership, now: float) -> bool:
+    def is_vacant(self, held: Ownership, now: float) -> bool:
         """Tells whether the owner on record can no longer act on the ownership.
 
         An owner that this instance never saw may be alive in a cut that began before; it counts as
@@ -171,27 +171,27 @@
             return True
         lease = self._lease_of(held)
         if lease is not None:
-            return lease.lapsed(now)
-        informed = self.informed_at
+            return lease.has_lapsed(now)
+        informed = self.initialized_at
         return informed is not None and now > informed + self.term + self.margin
 
-    def _lease_of(self, held: Ownership) -> SeenLease | None:
+    def _lease_of(self, held: Ownership) -> PeerLease | None:
         peer = self.peers.get(held.owner)
         if peer is not None and peer.record.boot == held.boot:
             return peer.lease
         return self._replaced.get((held.owner, held.boot))
 
-    def promised_to(self, owner: str, now: float) -> bool:
+    def has_peer_promise(self, owner: str, now: float) -> bool:
         """Tells whether a peer heard lately has promised `owner` not to take over from it."""
         return any(
             peer.heartbeat is not None
-            and owner in peer.heartbeat.promised
-            and peer.heard is not None
-            and now <= peer.heard + self.term
+            and owner in peer.heartbeat.promised_owners
+            and peer.heard_at is not None
+            and now <= peer.heard_at + self.term
             for peer in self.peers.values()
         )
 
-    def saw_owner(self, record: OwnerRecord, version: int) -> None:
+    def observe_owner(self, record: OwnerRecord, version: int) -> None:
         """Notes an ownership; an older version never replaces a newer one."""
         known = self.owners.get(record.engine)
         if known is None or version > known.fence:
@@ -199,20 +199,20 @@
                 record.owner, record.boot, version, record.handed
             )
 
-    def heard(self, beat: Heartbeat, now: float) -> None:
+    def observe_heartbeat(self, beat: Heartbeat, now: float) -> None:
         """Notes a heartbeat; summaries count only from the newest ownership known."""
         peer = self.peers.get(beat.instance)
         if peer is None and beat.zone == self.zone:
-            self.strangers[beat.instance] = now
+            self.unknown_peers[beat.instance] = now
         if peer is None or peer.record.boot != beat.boot:
             return
-        self.strangers.pop(beat.instance, None)
-        peer.heard = now
+        self.unknown_peers.pop(beat.instance, None)
+        peer.heard_at = now
         peer.heartbeat = beat
         for summary in beat.engines:
-            self.saw_summary(summary)
+            self.observe_summary(summary)
 
-    def saw_summary(self, summary: EngineSummary) -> None:
+    def observe_summary(self, summary: EngineSummary) -> None:
         """Notes what an owner says about its engine."""
         known = self.summaries.get(summary.engine)
         if known is None or summary.fence >= known.fence:
@@ -229,34 +229,34 @@
             return
         if endpoint.incarnation != summary.incarnation:
             endpoint.incarnation = summary.incarnation
-            endpoint.left = False
-        endpoint.left = endpoint.left or summary.leaving
+            endpoint.declared_leaving = False
+        endpoint.declared_leaving = endpoint.declared_leaving or summary.leaving
 
-    def said_leaving(self, endpoint: str) -> None:
+    def observe_leaving(self, endpoint: str) -> None:
         """Notes that an endpoint itself said that it is leaving."""
         known = self.endpoints.get(endpoint)
         if known is not None:
-            known.left = True
+            known.declared_leaving = True
 
-    def live_in_zone(self, now: float) -> list[str]:
+    def live_instances_in_zone(self, now: float) -> list[str]:
         """Returns the instances of the own zone that may own engines, this one included."""
         live = [
             name
             for name, peer in self.peers.items()
             if peer.record.zone == self.zone
             and not peer.record.draining
-            and not peer.lease.lapsed(now)
+            and not peer.lease.has_lapsed(now)
         ]
-        return sorted([self.me, *live])
+        return sorted([self.own_name, *live])
 
-    def settled_in_zone(self, now: float) -> list[str]:
+    def settled_instances_in_zone(self, now: float) -> list[str]:
         """Returns the other instances of the zone that have been live for a whole term."""
         return sorted(
             name
             for name, peer in self.peers.items()
             if peer.record.zone == self.zone
             and not peer.record.draining
-            and peer.lease.settled(now)
+            and peer.lease.is_settled(now)
         )
 
     def engines_in_zone(self) -> list[str]:
@@ -272,16 +272,16 @@
         listed = [*self.entries.values(), *(end.listed for end in self.endpoints.values())]
         return sorted({self.zone, *(item.zone for item in listed)})
 
-    def heard_within(self, bound: float, now: float) -> list[str]:
+    def instances_heard_within(self, bound: float, now: float) -> list[str]:
         """Returns the instances heard from in the last `bound` seconds, this one included."""
         heard = [
             name
             for name, peer in self.peers.items()
-            if peer.heard is not None and now - peer.heard <= bound
+            if peer.heard_at is not None and now - peer.heard_at <= bound
         ]
-        return sorted([self.me, *heard])
+        return sorted([self.own_name, *heard])
 
-    def serving(self, service: str) -> list[Endpoint]:
+    def endpoints_serving(self, service: str) -> list[Endpoint]:
         """Returns the endpoints of a service that take new work."""
         return [
             endpoint
--- a/packages/wigeonarch-core/src/wigeonarch_core/idempotency.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/idempotency.py
@@ -24,7 +24,7 @@
 
 from wigeonarch_core.records import KeyRecord
 
-TRIES: Final = 4
+MAX_TRIES: Final = 4
 DIGEST_BYTES: Final = 16
 
 
@@ -42,14 +42,14 @@
     RUN = "run"
     TAKE_OVER = "take_over"  # Replace the record, then run.
     CREATE = "create"  # No record after all: create it.
-    TELL_KNOWN = "tell_known"  # Answer from the record.
-    TELL_HELD = "tell_held"  # Somebody else may be running it.
+    ANSWER_FROM_RECORD = "tell_known"  # Answer from the record.
+    REPORT_IN_USE = "tell_held"  # Somebody else may be running it.
     MISMATCH = "mismatch"  # The key belongs to another request.
 
 
 _STEPS: Final = {
-    KeyState.HELD: Step.TELL_HELD,
-    KeyState.DONE: Step.TELL_KNOWN,
+    KeyState.HELD: Step.REPORT_IN_USE,
+    KeyState.DONE: Step.ANSWER_FROM_RECORD,
     KeyState.FREE: Step.TAKE_OVER,
 }
 
@@ -74,7 +74,7 @@
     return state.hexdigest()
 
 
-def judge(found: KeyRecord | None, mine: KeyRecord) -> Step:
+def next_step(found: KeyRecord | None, mine: KeyRecord) -> Step:
     """Decides from the record found after a conflict or a lost answer.
 
     Args:
@@ -124,10 +124,10 @@
     doubtful: bool
 
 
-Taking = Taken | Told | GivenUp
+TakeResult = Taken | Told | GivenUp
 
 
-class Attempt:
+class KeyAttempt:
     """One attempt to take a key: names the next call to the platform and judges its result.
 
     Attributes:
@@ -135,49 +135,49 @@
         record: The record that the attempt writes.
     """
 
-    __slots__ = ("_doubtful", "_left", "next", "record")
+    __slots__ = ("_may_have_written", "_tries_left", "next_call", "record")
 
     def __init__(self, record: KeyRecord) -> None:
         self.record = record
-        self.next: Write | Read = Write(0)
-        self._left = TRIES
-        self._doubtful = False
+        self.next_call: Write | Read = Write(0)
+        self._tries_left = MAX_TRIES
+        self._may_have_written = False
 
-    def written(self, version: int) -> Taken:
+    def record_write(self, version: int) -> Taken:
         """Notes that the write took effect."""
         return Taken(version)
 
-    def refused(self) -> None:
+    def record_conflict(self) -> None:
         """Notes a conflict, which may also be with a repetition of this attempt's own write."""
-        self.next = Read()
+        self.next_call = Read()
 
-    def unanswered(self, maybe: bool) -> GivenUp | None:
+    def record_no_answer(self, may_have_written: bool) -> GivenUp | None:
         """Notes a write without an answer; `maybe` tells whether it can have taken effect."""
-        self._doubtful = self._doubtful or maybe
-        if not maybe:
-            return GivenUp(self._doubtful)
-        self.next = Read()
+        self._may_have_written = self._may_have_written or may_have_written
+        if not may_have_written:
+            return GivenUp(self._may_have_written)
+        self.next_call = Read()
         return None
 
-    def unreadable(self) -> GivenUp:
+    def record_unreadable(self) -> GivenUp:
         """Notes that the record could not be read."""
-        return GivenUp(self._doubtful)
+        return GivenUp(self._may_have_written)
 
-    def found(self, record: KeyRecord | None, version: int) -> Taking | None:
+    def examine(self, record: KeyRecord | None, version: int) -> TakeResult | None:
         """Judges the record as read; None when `next` is to be carried out."""
-        step = judge(record, self.record)
+        step = next_step(record, self.record)
         if step is Step.RUN:
             return Taken(version)
         if record is not None and step is not Step.TAKE_OVER:
             return Told(step, record)
-        self._left -= 1
-        if self._left <= 0:
-            return GivenUp(self._doubtful)
-        self.next = Write(version)
+        self._tries_left -= 1
+        if self._tries_left <= 0:
+            return GivenUp(self._may_have_written)
+        self.next_call = Write(version)
         return None
 
 
-def may_dispatch(held_at: float, now: float, deadline: float, retention: float) -> bool:
+def may_dispatch(taken_at: float, now: float, deadline: float, retention: float) -> bool:
     """Tells whether the holder of a key may still send its request to an endpoint.
 
     A process can be paused between taking the key and sending. Afterwards the caller may have been
@@ -189,4 +189,4 @@
         deadline: When the answer is worthless.
         retention: Seconds that the record is kept.
     """
-    return now < deadline and now - held_at < retention / 2
+    return now < deadline and now - taken_at < retention / 2
--- a/packages/wigeonarch-core/src/wigeonarch_core/key_answers.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/key_answers.py
@@ -12,10 +12,10 @@
 from wigeonarch_core.records import KeyRecord
 
 # Encoded as JSON. The platform's limit of an object is four times as much.
-KEPT_BYTES: Final = 256 * 1024
+MAX_KEPT_BYTES: Final = 256 * 1024
 
 
-def settled(record: KeyRecord, outcome: Outcome, version: str = "") -> KeyRecord | None:
+def completed_record(record: KeyRecord, outcome: Outcome, version: str = "") -> KeyRecord | None:
     """Returns the record of a key whose request has ended; None when it must stay held.
 
     Args:
@@ -30,20 +30,20 @@
         case NotRun(reason=reason):
             return msgspec.structs.replace(ended, state=KeyState.FREE, reason=reason)
         case Failed(reason=reason, status=status, body=body):
-            return _done(ended, body, reason=reason, status=status)
+            return _done_record(ended, body, reason=reason, status=status)
         case Answered(text=text, tokens=tokens, finish=finish):
-            return _done(ended, text, tokens=tokens, finish=finish, version=version)
+            return _done_record(ended, text, tokens=tokens, finish=finish, version=version)
 
 
-def _done(record: KeyRecord, body: str, **fields: object) -> KeyRecord:
-    kept = len(msgspec.json.encode(body)) <= KEPT_BYTES
+def _done_record(record: KeyRecord, body: str, **fields: object) -> KeyRecord:
+    kept = len(msgspec.json.encode(body)) <= MAX_KEPT_BYTES
     kept_body = body if kept else ""
     return msgspec.structs.replace(
         record, state=KeyState.DONE, body=kept_body, body_kept=kept, **fields
     )
 
 
-def answer_of(told: Told) -> Outcome:
+def outcome_for(told: Told) -> Outcome:
     """Returns what a caller is told whose key belongs to an earlier request."""
     return _ANSWERS[told.step](told.record)
 
@@ -68,6 +68,6 @@
 
 _ANSWERS: Final[dict[Step, Callable[[KeyRecord], Outcome]]] = {
     Step.MISMATCH: _mismatch,
-    Step.TELL_HELD: _held,
-    Step.TELL_KNOWN: _known,
+    Step.REPORT_IN_USE: _held,
+    Step.ANSWER_FROM_RECORD: _known,
 }
--- a/packages/wigeonarch-core/src/wigeonarch_core/lease.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/lease.py
@@ -54,14 +54,14 @@
         self.generation = 0
         self.since = 0.0
 
-    def trying(self, now: float) -> None:
+    def record_attempt(self, now: float) -> None:
         """Notes that a renewal is sent; its answer may be lost after it took effect."""
         if self._tried is None:
             self._tried = now
 
-    def renewed(self, sent_at: float, version: int, now: float) -> None:
+    def record_renewal(self, sent_at: float, version: int, now: float) -> None:
         """Notes a renewal that was sent at `sent_at`, stored as `version` and answered now."""
-        if not self.holds(now):
+        if not self.is_valid(now):
             self.generation += 1
             self.since = now
             self._end = None
@@ -71,15 +71,15 @@
         self.version = version
         self._tried = None
 
-    def read_back(self, version: int, now: float) -> None:
+    def record_stored_version(self, version: int, now: float) -> None:
         """Notes the version that a read found in this process's name.
 
         Only a version that is new proves a renewal, and it may be the first of those sent since.
         """
         if version > self.version and self._tried is not None:
-            self.renewed(self._tried, version, now)
+            self.record_renewal(self._tried, version, now)
 
-    def promised(self, asked_at: float, now: float) -> None:
+    def record_promises(self, asked_at: float, now: float) -> None:
         """Notes promises, asked for at `asked_at`, that nobody will take over for a term.
 
         They never bridge a gap; after a pause they count only if they were asked for since.
@@ -98,7 +98,7 @@
         usual = self._term * RENEWALS_LEFT - self._margin
         return self._doubted is not None or self._end - now < usual * OVERDUE
 
-    def alive(self, now: float) -> float:
+    def record_running(self, now: float) -> float:
         """Notes that the process runs, which it must do more often than once per margin.
 
         Returns:
@@ -111,17 +111,17 @@
         self._alive = now
         return paused
 
-    def lost(self) -> None:
+    def invalidate(self) -> None:
         """Notes that the lease must not be relied on until the next renewal."""
         self._end = None
 
-    def replaced(self, version: int) -> None:
+    def record_replacement(self, version: int) -> None:
         """Notes that the stored lease is another process's; the next renewal replaces it."""
         self._end = None
         self._tried = None
         self.version = version
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Tells whether the holder may act as an owner."""
         if self._end is None or now >= self._end:
             return False
@@ -131,9 +131,9 @@
         """Returns the seconds left to act in; 0 when it has lapsed."""
         return 0.0 if self._end is None else max(0.0, self._end - now)
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Tells whether it has held for a whole term, so that all others know of this instance."""
-        return self.holds(now) and now >= self.since + self._term + self._margin
+        return self.is_valid(now) and now >= self.since + self._term + self._margin
 
     def _paused(self, now: float) -> float:
         """Returns the seconds for which the process did not run, if that is too long."""
@@ -145,7 +145,7 @@
         self._end = until if self._end is None else max(self._end, until)
 
 
-class SeenLease:
+class PeerLease:
     """Another instance's lease, as watched.
 
     Attributes:
@@ -162,19 +162,19 @@
         self.since = now
         self.version = version
 
-    def saw(self, version: int, now: float) -> None:
+    def observe(self, version: int, now: float) -> None:
         """Notes a version; only a greater one extends the lease."""
         if version <= self.version:
             return
-        if self.lapsed(now):
+        if self.has_lapsed(now):
             self.since = now
         self.version = version
         self._seen = now
 
-    def lapsed(self, now: float) -> bool:
+    def has_lapsed(self, now: float) -> bool:
         """Tells whether the holder can no longer rely on it."""
         return now > self._seen + self._term + self._margin
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Tells whether it has been live for a whole term."""
-        return not self.lapsed(now) and now >= self.since + self._term
+        return not self.has_lapsed(now) and now >= self.since + self._term
--- a/packages/wigeonarch-core/src/wigeonarch_core/lifecycle.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/lifecycle.py
@@ -46,7 +46,7 @@
     ANY = "any"
 
 
-class End(enum.Enum):
+class OutcomeKind(enum.Enum):
     """Tag of the outcome if the request ends here."""
 
     NOT_RUN = "not_run"
@@ -54,21 +54,21 @@
     FAILED = "failed"
 
 
-class Ruling(msgspec.Struct, frozen=True):
+class Disposition(msgspec.Struct, frozen=True):
     """What an event means in a phase."""
 
-    end: End
+    outcome_kind: OutcomeKind
     retry: Retry
 
 
-_NOT_RUN: Final = Ruling(End.NOT_RUN, Retry.NEVER)
-_NOT_RUN_RETRY: Final = Ruling(End.NOT_RUN, Retry.ANY)
-_UNKNOWN: Final = Ruling(End.UNKNOWN, Retry.NEVER)
-_UNKNOWN_RETRY: Final = Ruling(End.UNKNOWN, Retry.IDEMPOTENT)
-_FAILED: Final = Ruling(End.FAILED, Retry.NEVER)
-_FAILED_RETRY: Final = Ruling(End.FAILED, Retry.IDEMPOTENT)
+_NOT_RUN: Final = Disposition(OutcomeKind.NOT_RUN, Retry.NEVER)
+_NOT_RUN_RETRY: Final = Disposition(OutcomeKind.NOT_RUN, Retry.ANY)
+_UNKNOWN: Final = Disposition(OutcomeKind.UNKNOWN, Retry.NEVER)
+_UNKNOWN_RETRY: Final = Disposition(OutcomeKind.UNKNOWN, Retry.IDEMPOTENT)
+_FAILED: Final = Disposition(OutcomeKind.FAILED, Retry.NEVER)
+_FAILED_RETRY: Final = Disposition(OutcomeKind.FAILED, Retry.IDEMPOTENT)
 
-RULINGS: Final[dict[tuple[Phase, Event], Ruling]] = {
+DISPOSITIONS: Final[dict[tuple[Phase, Event], Disposition]] = {
     (Phase.QUEUED, Event.REFUSED): _NOT_RUN_RETRY,
     (Phase.QUEUED, Event.CONNECT_FAILED): _NOT_RUN_RETRY,
     (Phase.QUEUED, Event.DEADLINE): _NOT_RUN,
@@ -109,12 +109,14 @@
 _NOWHERE: Final = frozenset({Reason.NO_ENDPOINT, Reason.CIRCUIT_OPEN})
 
 
-def ruling(phase: Phase, event: Event) -> Ruling:
+def disposition_of(phase: Phase, event: Event) -> Disposition:
     """Returns the ruling on an event; a pair that is not in the table is a broken invariant."""
-    return RULINGS[phase, event]
+    return DISPOSITIONS[phase, event]
 
 
-def may_retry(rule: Ruling, reason: Reason, idempotent: bool, shown: bool) -> bool:
+def may_retry(
+    disposition: Disposition, reason: Reason, idempotent: bool, answer_started: bool
+) -> bool:
     """Tells whether a request may be tried again.
 
     Args:
@@ -124,19 +126,19 @@
         shown: Whether part of an answer has already gone to the caller; a fresh run could
             contradict it.
     """
-    if shown or reason in _FINAL_REASONS:
+    if answer_started or reason in _FINAL_REASONS:
         return False
-    if rule.retry is Retry.IDEMPOTENT:
+    if disposition.retry is Retry.IDEMPOTENT:
         return idempotent
-    return rule.retry is Retry.ANY
+    return disposition.retry is Retry.ANY
 
 
-def may_return(reason: Reason) -> bool:
+def may_retry_same_endpoint(reason: Reason) -> bool:
     """Tells whether a retry may go to the same endpoint again, when there is no other."""
     return reason in _PASSING
 
 
-def told_after(earlier: Outcome | None, latest: Outcome) -> Outcome:
+def combine_outcomes(earlier: Outcome | None, latest: Outcome) -> Outcome:
     """Returns what a caller is told after several attempts.
 
     That the last attempt did not run says nothing of those before it. Example: an engine restarts
@@ -155,10 +157,10 @@
     return latest
 
 
-def outcome_of(rule: Ruling, reason: Reason, retry_after: float) -> Outcome:
+def outcome_of(disposition: Disposition, reason: Reason, retry_after: float) -> Outcome:
     """Returns the outcome of a request that ends with this ruling."""
-    if rule.end is End.NOT_RUN:
+    if disposition.outcome_kind is OutcomeKind.NOT_RUN:
         return NotRun(reason, retry_after)
-    if rule.end is End.UNKNOWN:
+    if disposition.outcome_kind is OutcomeKind.UNKNOWN:
         return Unknown(reason)
     return Failed(reason)
--- a/packages/wigeonarch-core/src/wigeonarch_core/listing.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/listing.py
@@ -17,8 +17,8 @@
 
 import msgspec
 
-LONGEST_PAUSE: Final = 60.0
-OLDEST_NEWS: Final = 2.0
+MAX_READ_INTERVAL: Final = 60.0
+MAX_UPDATE_AGE: Final = 2.0
 
 
 class Role(enum.StrEnum):
@@ -56,7 +56,7 @@
     state: Presence = Presence.LIVE
 
 
-class ListNews(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class ListUpdate(msgspec.Struct, frozen=True, tag="ListNews", array_like=True):
     """What an instance found to differ when it read the list.
 
     Attributes:
@@ -67,8 +67,8 @@
     """
 
     sender: str
-    put: tuple[Listed, ...]
-    gone: tuple[str, ...]
+    changed: tuple[Listed, ...]
+    removed: tuple[str, ...]
     age: float
 
 
@@ -85,7 +85,7 @@
         self.items: dict[str, Listed] = {}
         self._read = False
 
-    def read(self, me: str, items: Iterable[Listed], age: float) -> ListNews | None:
+    def replace(self, me: str, items: Iterable[Listed], age: float) -> ListUpdate | None:
         """Takes over the whole list; returns what peers may not know, None when nothing differs.
 
         Args:
@@ -100,27 +100,27 @@
         self.items = fresh
         self._read = True
         # The first reading differs in everything, and says nothing new to the others.
-        return None if first or not (put or gone) else ListNews(me, put, gone, age)
+        return None if first or not (put or gone) else ListUpdate(me, put, gone, age)
 
-    def heard(self, news: ListNews) -> bool:
+    def apply(self, news: ListUpdate) -> bool:
         """Takes over a peer's news; False when it is of no use.
 
         News is of no use before the first reading, and when the peer was held up between asking for
         the list and sending: what it found may have been overtaken.
         """
-        if not self._read or news.age > OLDEST_NEWS:
+        if not self._read or news.age > MAX_UPDATE_AGE:
             return False
-        self.items.update((item.name, item) for item in news.put)
-        for name in news.gone:
+        self.items.update((item.name, item) for item in news.changed)
+        for name in news.removed:
             self.items.pop(name, None)
         return True
 
 
-def pause(interval: float, peers: int) -> float:
+def read_interval(interval: float, peers: int) -> float:
     """Returns the seconds between two readings of one instance.
 
     Args:
         interval: Seconds between two readings of the whole zone.
         peers: Other instances of the zone that take turns.
     """
-    return max(interval, min(LONGEST_PAUSE, interval * (peers + 1)))
+    return max(interval, min(MAX_READ_INTERVAL, interval * (peers + 1)))
--- a/packages/wigeonarch-core/src/wigeonarch_core/turn.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/load_permits.py
@@ -25,33 +25,42 @@
     since: float
 
 
-class LoadTurns:
+class LoadPermits:
     """Bids and given turns at the holder of the turn to load.
 
     Attributes:
         zones: Availability zones of the deployment, each with an equal share of the load rate.
     """
 
-    __slots__ = ("_bids", "_credit", "_given", "_opts", "_reachable", "_seen", "_tokens", "zones")
+    __slots__ = (
+        "_bids",
+        "_granted",
+        "_opts",
+        "_reachable",
+        "_refilled_at",
+        "_tokens",
+        "_zone_credit",
+        "zones",
+    )
 
     def __init__(self, opts: PolicyOptions, zones: Sequence[str], now: float) -> None:
         self.zones = tuple(zones)
         self._opts = opts
         self._reachable = frozenset(zones)
         self._bids: dict[str, _Bid] = {}
-        self._given: dict[str, float] = {}
-        self._credit = dict.fromkeys(zones, 0.0)
+        self._granted: dict[str, float] = {}
+        self._zone_credit = dict.fromkeys(zones, 0.0)
         self._tokens = BURST
-        self._seen = now
+        self._refilled_at = now
 
-    def reach(self, zones: Collection[str], now: float) -> None:
+    def set_reachable_zones(self, zones: Collection[str], now: float) -> None:
         """Sets the zones that this holder reaches; only their shares are given."""
         self._refill(now)
         self._reachable = frozenset(zones)
 
-    def bid(self, bid_id: str, zone: str, value: float, now: float) -> None:
+    def add_bid(self, bid_id: str, zone: str, value: float, now: float) -> None:
         """Adds a bid, or changes its value; a bid that has its turn stays as it is."""
-        if bid_id in self._given:
+        if bid_id in self._granted:
             return
         known = self._bids.get(bid_id)
         since = now if known is None else known.since
@@ -61,18 +70,18 @@
         """Removes a bid that has no turn yet."""
         self._bids.pop(bid_id, None)
 
-    def ended(self, bid_id: str, now: float) -> None:
+    def end_load(self, bid_id: str, now: float) -> None:
         """Ends a bid, and its turn if it has one."""
         self._bids.pop(bid_id, None)
-        self._given.pop(bid_id, None)
+        self._granted.pop(bid_id, None)
 
-    def decide(self, now: float) -> list[str]:
+    def grant_due(self, now: float) -> list[str]:
         """Returns the bids that get their turn now."""
         self._refill(now)
-        self._given = {bid_id: until for bid_id, until in self._given.items() if until > now}
+        self._granted = {bid_id: until for bid_id, until in self._granted.items() if until > now}
         chosen: list[str] = []
-        while self._bids and self._tokens >= 1.0 and len(self._given) < self._opts.load_parallel:
-            chosen.append(self._give(now))
+        while self._bids and self._tokens >= 1.0 and len(self._granted) < self._opts.load_parallel:
+            chosen.append(self._grant_best(now))
         return chosen
 
     def next_due(self, now: float) -> float:
@@ -80,22 +89,22 @@
         idle = now + self._opts.idle_interval
         if not self._bids:
             return idle
-        if len(self._given) >= self._opts.load_parallel:
-            return min(idle, min(self._given.values()))
+        if len(self._granted) >= self._opts.load_parallel:
+            return min(idle, min(self._granted.values()))
         rate = max(self._rate(), 1e-9)
-        return min(idle, self._seen + (1.0 - self._tokens) / rate)
+        return min(idle, self._refilled_at + (1.0 - self._tokens) / rate)
 
-    def _give(self, now: float) -> str:
+    def _grant_best(self, now: float) -> str:
         bid_id = max(self._bids, key=self._rank)
         zone = self._bids.pop(bid_id).zone
         self._tokens -= 1.0
-        self._credit[zone] = max(0.0, self._credit.get(zone, 0.0) - 1.0)
-        self._given[bid_id] = now + self._opts.turn_lease
+        self._zone_credit[zone] = max(0.0, self._zone_credit.get(zone, 0.0) - 1.0)
+        self._granted[bid_id] = now + self._opts.turn_lease
         return bid_id
 
     def _rank(self, bid_id: str) -> tuple[bool, float, float, str]:
         bid = self._bids[bid_id]
-        owed = self._credit.get(bid.zone, 0.0) >= 1.0
+        owed = self._zone_credit.get(bid.zone, 0.0) >= 1.0
         return owed, bid.value, -bid.since, bid_id
 
     def _rate(self) -> float:
@@ -103,9 +112,9 @@
         return self._opts.load_rate * share
 
     def _refill(self, now: float) -> None:
-        passed = max(0.0, now - self._seen)
-        self._seen = max(self._seen, now)
+        passed = max(0.0, now - self._refilled_at)
+        self._refilled_at = max(self._refilled_at, now)
         self._tokens = min(BURST, self._tokens + passed * self._rate())
         own = self._opts.load_rate / max(1, len(self.zones)) * self._opts.zone_guarantee
-        for zone in self._credit:
-            self._credit[zone] = min(BURST, self._credit[zone] + passed * own)
+        for zone in self._zone_credit:
+            self._zone_credit[zone] = min(BURST, self._zone_credit[zone] + passed * own)
--- a/packages/wigeonarch-core/src/wigeonarch_core/load_pace.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/load_time.py
@@ -18,25 +18,25 @@
 # trying for less sends requests in vain, and fetches adapters for second engines.
 WARM_LOAD: Final = 0.025
 COLD_LOAD: Final = 0.25
-COLD_MOST: Final = 5.0  # Greatest seconds of one load that are believed.
+MAX_COLD_LOAD: Final = 5.0  # Greatest seconds of one load that are believed.
 # Loads at once at full speed, to begin with; 8 and 48 are known.
-AT_ONCE: Final = 8.0
-AT_ONCE_MOST: Final = 512.0
+INITIAL_CONCURRENCY: Final = 8.0
+MAX_CONCURRENCY: Final = 512.0
 # Steps of the number, by which it reaches 48 from 8 in 13 loads in time, and stays near the truth
 # when half of the loads tried beyond it are late.
-MORE: Final = 1.15
-FEWER: Final = 0.93
+CONCURRENCY_INCREASE: Final = 1.15
+CONCURRENCY_DECREASE: Final = 0.93
 # Loads beyond this part of the number say something of it; others of the time of one load.
-NEAR: Final = 0.6
+SATURATION_SHARE: Final = 0.6
 # Below this number lateness is put down to the time of one load, however many are under way.
-AT_ONCE_LEAST: Final = 2.0
+MIN_CONCURRENCY: Final = 2.0
 # Steps of the time of one load: 0.4 s is reached from 0.25 by five late loads, and one of ten is
 # late where they balance.
-SLOWER: Final = 1.12
-FASTER: Final = 0.988
+LOAD_TIME_INCREASE: Final = 1.12
+LOAD_TIME_DECREASE: Final = 0.988
 
 
-class LoadPace:
+class LoadTimeEstimate:
     """What one instance has learned.
 
     Attributes:
@@ -44,14 +44,14 @@
         base: Seconds of one load at full speed.
     """
 
-    __slots__ = ("at_once", "base")
+    __slots__ = ("base_seconds", "concurrency")
 
     def __init__(self) -> None:
         """Begins with the least that is known."""
-        self.at_once = AT_ONCE
-        self.base = COLD_LOAD
+        self.concurrency = INITIAL_CONCURRENCY
+        self.base_seconds = COLD_LOAD
 
-    def expected(self, warm: bool, under_way: int) -> float:
+    def expected_seconds(self, warm: bool, other_loads: int) -> float:
         """Returns the expected seconds of a load.
 
         Args:
@@ -59,19 +59,22 @@
             under_way: Other loads on their way, over all engines.
         """
         if warm:
-            return WARM_LOAD / COLD_LOAD * self.base
-        return self.base * max(1.0, (under_way + 1) / self.at_once)
+            return WARM_LOAD / COLD_LOAD * self.base_seconds
+        return self.base_seconds * max(1.0, (other_loads + 1) / self.concurrency)
 
-    def in_time(self, under_way: int) -> None:
+    def record_on_time(self, other_loads: int) -> None:
         """Notes that a fetched copy was there when it was expected."""
-        if under_way + 1 > self.at_once:
-            self.at_once = min(AT_ONCE_MOST, self.at_once * MORE)
+        if other_loads + 1 > self.concurrency:
+            self.concurrency = min(MAX_CONCURRENCY, self.concurrency * CONCURRENCY_INCREASE)
         else:
-            self.base = max(COLD_LOAD, self.base * FASTER)
+            self.base_seconds = max(COLD_LOAD, self.base_seconds * LOAD_TIME_DECREASE)
 
-    def late(self, under_way: int) -> None:
+    def record_late(self, other_loads: int) -> None:
         """Notes that a fetched copy was not there when it was expected."""
-        if under_way + 1 > self.at_once * NEAR and self.at_once > AT_ONCE_LEAST:
-            self.at_once *= FEWER
+        if (
+            other_loads + 1 > self.concurrency * SATURATION_SHARE
+            and self.concurrency > MIN_CONCURRENCY
+        ):
+            self.concurrency *= CONCURRENCY_DECREASE
         else:
-            self.base = min(COLD_MOST, self.base * SLOWER)
+            self.base_seconds = min(MAX_COLD_LOAD, self.base_seconds * LOAD_TIME_INCREASE)
--- a/packages/wigeonarch-core/src/wigeonarch_core/messages.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/messages.py
@@ -12,13 +12,13 @@
 import msgspec
 
 from wigeonarch_core.changelog import Change
-from wigeonarch_core.listing import ListNews
+from wigeonarch_core.listing import ListUpdate
 from wigeonarch_core.outcomes import Reason
 from wigeonarch_core.records import LeaseRecord
 from wigeonarch_core.refs import AdapterVersion
 
 
-class Ask(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class GrantRequest(msgspec.Struct, frozen=True, tag="Ask", array_like=True):
     """Asks the owner of an engine for a grant to use it.
 
     Attributes:
@@ -36,8 +36,8 @@
         boot: Nonce made at the asker's start.
     """
 
-    ask: str
-    asker: str
+    dispatch_id: str
+    requester: str
     engine: str
     target: AdapterVersion
     caller: str
@@ -62,7 +62,7 @@
             its pins to a newer owner takes no grant of an older one.
     """
 
-    ask: str
+    dispatch_id: str
     round: int
     waited: float
     stalled: float
@@ -73,7 +73,7 @@
 class Refused(msgspec.Struct, frozen=True, tag=True, array_like=True):
     """The owner will not grant this ask; nothing of it will run."""
 
-    ask: str
+    dispatch_id: str
     reason: Reason
     retry_after: float
 
@@ -81,8 +81,8 @@
 class Release(msgspec.Struct, frozen=True, tag=True, array_like=True):
     """The asker no longer uses the grant, or no longer waits for it."""
 
-    ask: str
-    asker: str
+    dispatch_id: str
+    requester: str
     engine: str
 
 
@@ -95,7 +95,7 @@
         remaining: Seconds until the request's hard deadline.
     """
 
-    ask: str
+    dispatch_id: str
     target: AdapterVersion
     remaining: float
 
@@ -112,12 +112,12 @@
         held: The pins.
     """
 
-    asker: str
+    requester: str
     boot: str
     engine: str
     fence: int
     number: int
-    held: tuple[HeldPin, ...]
+    pins: tuple[HeldPin, ...]
 
 
 class DeclarePins(msgspec.Struct, frozen=True, tag=True, array_like=True):
@@ -167,7 +167,7 @@
 class OfferedPin(msgspec.Struct, frozen=True, array_like=True):
     """A pin that goes to a new owner: who holds it, in which process, and what it holds."""
 
-    asker: str
+    requester: str
     boot: str
     pin: HeldPin
 
@@ -187,7 +187,7 @@
     owner: str
     fence: int
     pins: tuple[OfferedPin, ...]
-    queue: tuple[Ask, ...]
+    queue: tuple[GrantRequest, ...]
 
 
 class Accepted(msgspec.Struct, frozen=True, tag=True, array_like=True):
@@ -221,7 +221,7 @@
     owner: str
     boot: str
     fence: int
-    last: int
+    previous_fence: int
 
 
 class EngineSummary(msgspec.Struct, frozen=True, array_like=True):
@@ -280,11 +280,11 @@
     draining: bool
     platform: bool
     engines: tuple[EngineSummary, ...] = ()
-    promised: tuple[str, ...] = ()
+    promised_owners: tuple[str, ...] = ()
     leased: bool = False
     reaches: bool = False
     settled: bool = False
-    peer: str = ""
+    peer_address: str = ""
     sent: float = 0.0
     echo: float = 0.0
 
@@ -315,7 +315,7 @@
     value: float
 
 
-class LoadTurn(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class LoadPermit(msgspec.Struct, frozen=True, tag="LoadTurn", array_like=True):
     """The turn to load is given to a bid."""
 
     bid: str
@@ -329,7 +329,7 @@
 
 
 Message = (
-    Ask
+    GrantRequest
     | Granted
     | Refused
     | Release
@@ -343,9 +343,9 @@
     | Moved
     | Heartbeat
     | ChangeNotice
-    | ListNews
+    | ListUpdate
     | LoadBid
-    | LoadTurn
+    | LoadPermit
     | LoadEnded
 )
 
--- a/packages/wigeonarch-core/src/wigeonarch_core/ownership.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/ownership.py
@@ -19,10 +19,10 @@
 import msgspec
 
 from wigeonarch_core.fleet import Fleet, Ownership
-from wigeonarch_core.homes import ranked
 from wigeonarch_core.lease import HeldLease
 from wigeonarch_core.promises import PromisesGiven
 from wigeonarch_core.records import VACANT
+from wigeonarch_core.rendezvous import ranked
 
 
 class Claim(msgspec.Struct, frozen=True):
@@ -37,7 +37,7 @@
 
     engine: str
     expected: int
-    last: Ownership | None = None
+    previous: Ownership | None = None
 
 
 class HandOver(msgspec.Struct, frozen=True):
@@ -48,7 +48,7 @@
     expected: int
 
 
-class Holding(msgspec.Struct, frozen=True):
+class HeldOwnership(msgspec.Struct, frozen=True):
     """An engine that this instance owns.
 
     Attributes:
@@ -62,7 +62,7 @@
     since: float
 
 
-class Standing(msgspec.Struct, frozen=True):
+class LocalState(msgspec.Struct, frozen=True):
     """What an instance's moves depend on, besides the fleet.
 
     Attributes:
@@ -74,13 +74,13 @@
     """
 
     lease: HeldLease
-    holdings: Mapping[str, Holding]
+    held: Mapping[str, HeldOwnership]
     promises: PromisesGiven
     draining: bool = False
     pause: float = 0.0
 
 
-def plan(fleet: Fleet, own: Standing, now: float) -> list[Claim | HandOver]:
+def plan_moves(fleet: Fleet, own: LocalState, now: float) -> list[Claim | HandOver]:
     """Returns the ownership writes that this instance should try now.
 
     Args:
@@ -88,7 +88,7 @@
         own: How this instance stands.
         now: Time, in seconds.
     """
-    if not own.lease.holds(now):
+    if not own.lease.is_valid(now):
         return []
     moves = [_move(fleet, own, engine, now) for engine in fleet.engines_in_zone()]
     claims: list[Claim | HandOver] = [move for move in moves if isinstance(move, Claim)]
@@ -96,57 +96,57 @@
     return claims + (gifts if own.draining else gifts[:1])
 
 
-def confirmed(holding: Holding | None, lease: HeldLease, now: float) -> bool:
+def is_confirmed(holding: HeldOwnership | None, lease: HeldLease, now: float) -> bool:
     """Tells whether an ownership lets this instance act now."""
-    return holding is not None and holding.generation == lease.generation and lease.holds(now)
+    return holding is not None and holding.generation == lease.generation and lease.is_valid(now)
 
 
-def may_take_over(fleet: Fleet, own: Standing, last: Ownership, now: float) -> bool:
+def may_take_over(fleet: Fleet, own: LocalState, last: Ownership, now: float) -> bool:
     """Tells whether the owner on record can no longer act and this instance may replace it."""
-    if not own.lease.settled(now):
+    if not own.lease.is_settled(now):
         return False
-    if own.promises.in_force(last.owner, now) or fleet.promised_to(last.owner, now):
+    if own.promises.is_in_force(last.owner, now) or fleet.has_peer_promise(last.owner, now):
         return False
-    return fleet.vacant(last, now)
+    return fleet.is_vacant(last, now)
 
 
-def successor(fleet: Fleet, engine: str, now: float) -> str | None:
+def best_successor(fleet: Fleet, engine: str, now: float) -> str | None:
     """Returns the settled instance, other than this one, that an engine would best go to."""
-    others = [name for name in fleet.settled_in_zone(now) if name != fleet.me]
+    others = [name for name in fleet.settled_instances_in_zone(now) if name != fleet.own_name]
     return ranked(engine, others)[0] if others else None
 
 
-def _move(fleet: Fleet, own: Standing, engine: str, now: float) -> Claim | HandOver | None:
+def _move(fleet: Fleet, own: LocalState, engine: str, now: float) -> Claim | HandOver | None:
     held = fleet.owners.get(engine)
     if held is None or held.owner == VACANT:
         # Nobody acts there; what the last owner granted is what a claim's quarantine is for.
-        first = ranked(engine, fleet.live_in_zone(now))[0]
+        first = ranked(engine, fleet.live_instances_in_zone(now))[0]
         expected = 0 if held is None else held.fence
-        return Claim(engine, expected) if first == fleet.me and not own.draining else None
-    if held.owner == fleet.me and held.boot == fleet.boot:
+        return Claim(engine, expected) if first == fleet.own_name and not own.draining else None
+    if held.owner == fleet.own_name and held.boot == fleet.boot:
         return _keep_or_give(fleet, own, engine, held, now)
     if own.draining or not may_take_over(fleet, own, held, now):
         return None
-    wanted = ranked(engine, [fleet.me, *_others(fleet, now)])[0]
-    return Claim(engine, held.fence, held) if wanted == fleet.me else None
+    wanted = ranked(engine, [fleet.own_name, *_others(fleet, now)])[0]
+    return Claim(engine, held.fence, held) if wanted == fleet.own_name else None
 
 
 def _keep_or_give(
-    fleet: Fleet, own: Standing, engine: str, held: Ownership, now: float
+    fleet: Fleet, own: LocalState, engine: str, held: Ownership, now: float
 ) -> Claim | HandOver | None:
-    holding = own.holdings.get(engine)
-    if holding is None or not confirmed(holding, own.lease, now):
+    holding = own.held.get(engine)
+    if holding is None or not is_confirmed(holding, own.lease, now):
         return None if own.draining else Claim(engine, held.fence)
-    to = successor(fleet, engine, now)
+    to = best_successor(fleet, engine, now)
     if to is None:
         return None
     if own.draining:
         return HandOver(engine, to, holding.fence)
-    wanted = ranked(engine, [fleet.me, *_others(fleet, now)])[0]
-    if wanted == fleet.me or now < holding.since + own.pause:
+    wanted = ranked(engine, [fleet.own_name, *_others(fleet, now)])[0]
+    if wanted == fleet.own_name or now < holding.since + own.pause:
         return None
     return HandOver(engine, wanted, holding.fence)
 
 
 def _others(fleet: Fleet, now: float) -> list[str]:
-    return [name for name in fleet.settled_in_zone(now) if name != fleet.me]
+    return [name for name in fleet.settled_instances_in_zone(now) if name != fleet.own_name]
--- a/packages/wigeonarch-core/src/wigeonarch_core/permits.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/permits.py
@@ -16,10 +16,10 @@
 
 from typing import Final
 
-HOLDS: Final = 0.5  # Seconds for which a permit may be used.
-USED: Final = 0.8  # Share of the rate that is given.
-AT_ONCE: Final = 2.0  # Permits that are saved up at most.
-WAIT_MOST: Final = 10.0  # Seconds after which a permit is asked for again at the latest.
+PERMIT_LIFETIME: Final = 0.5  # Seconds for which a permit may be used.
+USED_SHARE: Final = 0.8  # Share of the rate that is given.
+MAX_SAVED_PERMITS: Final = 2.0  # Permits that are saved up at most.
+MAX_WAIT: Final = 10.0  # Seconds after which a permit is asked for again at the latest.
 
 
 class PermitBucket:
@@ -29,30 +29,30 @@
 
     def __init__(self, rate: float, now: float) -> None:
         """Makes an empty bucket; `rate` is the requests a second that the endpoint named."""
-        self._rate = rate * USED
+        self._rate = rate * USED_SHARE
         self._level = 0.0
         self._at = now
 
     def set_rate(self, rate: float, now: float) -> None:
         """Takes another rate from now on."""
         self._fill(now)
-        self._rate = rate * USED
+        self._rate = rate * USED_SHARE
 
-    def wait(self, now: float) -> float:
+    def seconds_until_permit(self, now: float) -> float:
         """Returns the seconds until there is a permit; 0 when there is one."""
         self._fill(now)
         lacks = 1.0 - self._level
         if lacks <= 0.0:
             return 0.0
-        return min(WAIT_MOST, lacks / self._rate) if self._rate > 0.0 else WAIT_MOST
+        return min(MAX_WAIT, lacks / self._rate) if self._rate > 0.0 else MAX_WAIT
 
     def take(self, now: float) -> bool:
         """Takes a permit; False when there is none."""
-        if self.wait(now) > 0.0:
+        if self.seconds_until_permit(now) > 0.0:
             return False
         self._level -= 1.0
         return True
 
     def _fill(self, now: float) -> None:
-        self._level = min(AT_ONCE, self._level + self._rate * max(0.0, now - self._at))
+        self._level = min(MAX_SAVED_PERMITS, self._level + self._rate * max(0.0, now - self._at))
         self._at = now
--- a/packages/wigeonarch-core/src/wigeonarch_core/pins.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/pins.py
@@ -27,8 +27,8 @@
         tokens: Upper bound of tokens to generate; 0 when unknown.
     """
 
-    ask: str
-    asker: str
+    dispatch_id: str
+    requester: str
     target: AdapterVersion
     deadline: float
     since: float
@@ -60,12 +60,12 @@
 
     def add(self, pin: Pin) -> None:
         """Adds a pin; one that is there already stays as it is."""
-        if pin.ask in self._pins:
+        if pin.dispatch_id in self._pins:
             return
-        self._pins[pin.ask] = pin
+        self._pins[pin.dispatch_id] = pin
         self._targets[pin.target] += 1
 
-    def drop(self, ask_id: str) -> Pin | None:
+    def remove(self, ask_id: str) -> Pin | None:
         """Ends a pin; returns None if there is none."""
         pin = self._pins.pop(ask_id, None)
         if pin is None:
@@ -75,11 +75,11 @@
             del self._targets[pin.target]
         return pin
 
-    def of(self, asker: str) -> list[Pin]:
+    def held_by(self, asker: str) -> list[Pin]:
         """Returns the pins that an instance holds."""
-        return [pin for pin in self._pins.values() if pin.asker == asker]
+        return [pin for pin in self._pins.values() if pin.requester == asker]
 
-    def drop_overdue(self, sampled: float, idle: Callable[[AdapterVersion], bool]) -> list[Pin]:
+    def remove_overdue(self, sampled: float, idle: Callable[[AdapterVersion], bool]) -> list[Pin]:
         """Ends the pins whose deadline lies before a report that shows their adapter idle.
 
         Args:
@@ -93,7 +93,7 @@
             pin for pin in self._pins.values() if pin.deadline < sampled and idle(pin.target)
         ]
         for pin in overdue:
-            self.drop(pin.ask)
+            self.remove(pin.dispatch_id)
         return overdue
 
     def all(self) -> list[Pin]:
@@ -104,4 +104,4 @@
         """Ends all pins but those on `targets`; the engine has restarted."""
         for pin in self.all():
             if pin.target not in targets:
-                self.drop(pin.ask)
+                self.remove(pin.dispatch_id)
--- a/packages/wigeonarch-core/src/wigeonarch_core/placement.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/placement.py
@@ -17,13 +17,13 @@
 
 import msgspec
 
-from wigeonarch_core import homes
+from wigeonarch_core import rendezvous as homes
 from wigeonarch_core.messages import EngineSummary
 from wigeonarch_core.policy_options import PolicyOptions
 from wigeonarch_core.refs import AdapterVersion
 
 
-class Why(enum.StrEnum):
+class PlacementReason(enum.StrEnum):
     """Why an engine was chosen."""
 
     LOADED = "loaded"
@@ -57,14 +57,18 @@
     """An engine to try, and why."""
 
     engine: str
-    why: Why
+    why: PlacementReason
 
 
-ORDER: Final[dict[Why, int]] = {why: number for number, why in enumerate(Why)}
-_NEAREST_FIRST: Final = frozenset({Why.LOADED, Why.COMING, Why.OVERLOADED})
+PREFERENCE: Final[dict[PlacementReason, int]] = {
+    why: number for number, why in enumerate(PlacementReason)
+}
+_NEAREST_FIRST: Final = frozenset(
+    {PlacementReason.LOADED, PlacementReason.COMING, PlacementReason.OVERLOADED}
+)
 
 
-def choose(
+def choose_engines(
     target: AdapterVersion,
     own_zone: str,
     engines: Sequence[EngineView],
@@ -83,47 +87,49 @@
     usable = [view for view in engines if not view.leaving and view.engine not in tried]
     order = homes.ranked(str(target), [view.engine for view in usable])
     place = {engine: number for number, engine in enumerate(order)}
-    near = _homes(order, usable, opts)
+    near = _home_engines(order, usable, opts)
 
-    def rank(item: tuple[EngineView, Why]) -> tuple[int, bool, float, int]:
+    def rank(item: tuple[EngineView, PlacementReason]) -> tuple[int, bool, float, int]:
         view, why = item
         local = why in _NEAREST_FIRST and view.zone != own_zone
-        return ORDER[why], local, _burden(view, why), place[view.engine]
+        return PREFERENCE[why], local, _burden(view, why), place[view.engine]
 
-    found = [(view, _why(view, target, own_zone, near, opts)) for view in usable]
+    found = [(view, _reason_for(view, target, own_zone, near, opts)) for view in usable]
     return [Choice(view.engine, why) for view, why in sorted(found, key=rank)]
 
 
-def _homes(
+def _home_engines(
     order: Sequence[str], views: Sequence[EngineView], opts: PolicyOptions
 ) -> Collection[str]:
     out = {view.engine for view in views if not view.owned or _overloaded(view, opts)}
     return [engine for engine in order if engine not in out][: opts.homes]
 
 
-def _burden(view: EngineView, why: Why) -> float:
+def _burden(view: EngineView, why: PlacementReason) -> float:
     """Returns what makes one engine worse than another that was found for the same reason."""
     if view.summary is None:
         return 0.0
-    return view.summary.wait if why is Why.OVERLOADED else float(view.summary.backlog)
+    return view.summary.wait if why is PlacementReason.OVERLOADED else float(view.summary.backlog)
 
 
-def _why(
+def _reason_for(
     view: EngineView,
     target: AdapterVersion,
     own_zone: str,
     near: Collection[str],
     opts: PolicyOptions,
-) -> Why:
+) -> PlacementReason:
     if not view.owned:
-        return Why.UNOWNED
+        return PlacementReason.UNOWNED
     if _overloaded(view, opts):
-        return Why.OVERLOADED
+        return PlacementReason.OVERLOADED
     if view.summary is not None and target in view.summary.loaded:
-        return Why.LOADED if view.zone == own_zone else Why.LOADED_OTHER_ZONE
+        return (
+            PlacementReason.LOADED if view.zone == own_zone else PlacementReason.LOADED_OTHER_ZONE
+        )
     if view.summary is not None and target in view.summary.coming:
-        return Why.COMING
-    return Why.HOME if view.engine in near else Why.SPILL
+        return PlacementReason.COMING
+    return PlacementReason.HOME if view.engine in near else PlacementReason.SPILL
 
 
 def _overloaded(view: EngineView, opts: PolicyOptions) -> bool:
--- a/packages/wigeonarch-core/src/wigeonarch_core/promises.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/promises.py
@@ -29,7 +29,7 @@
         """Promises not to take over from `owner` for one term from now."""
         self._until[owner] = max(self._until.get(owner, now), now + self._term)
 
-    def in_force(self, owner: str, now: float) -> bool:
+    def is_in_force(self, owner: str, now: float) -> bool:
         """Tells whether a promise to `owner` holds."""
         return now <= self._until.get(owner, float("-inf"))
 
@@ -54,7 +54,7 @@
         self._since: dict[str, float] = {}
         self.round = 0
 
-    def ask(self, now: float) -> int:
+    def start_request(self, now: float) -> int:
         """Notes that support is being asked for; returns the number of the request."""
         self.round += 1
         self._sent = {n: at for n, at in self._sent.items() if at > now - self._term}
@@ -65,13 +65,13 @@
         """Returns when a request was sent; None when that is too long ago to matter."""
         return self._sent.get(number)
 
-    def promised(self, peer: str, number: int) -> None:
+    def record_promise(self, peer: str, number: int) -> None:
         """Notes a peer's promise in answer to a request."""
         sent = self._sent.get(number)
         if sent is not None:
             self._since[peer] = max(self._since.get(peer, sent), sent)
 
-    def asked_at(self, needed: Collection[str], now: float) -> float | None:
+    def supported_since(self, needed: Collection[str], now: float) -> float | None:
         """Returns the time since which the promises of all of `needed` count; None without them.
 
         With nobody needed there is nobody who could take over: they count from now.
--- a/packages/wigeonarch-core/src/wigeonarch_core/quota_bank.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/quota_ledger.py
@@ -43,31 +43,31 @@
 
 from wigeonarch_core.teams import Quota
 
-USED: Final = 0.94  # Part of the bound that is given out.
+USABLE_PART: Final = 0.94  # Part of the bound that is given out.
 # Part of it that a banker without knowledge of the past may give at once, or a deputy half of.
-FIRST: Final = 0.01
+INITIAL_PART: Final = 0.01
 # Part of a quota's rate that is given for a window without knowledge of the past. A team that stays
 # within its quota rarely asks for more than this on the whole.
-RESTART: Final = 0.6
+RESTART_RATE_PART: Final = 0.6
 # Growth of a share from which on a banker begins anew: it does not know what those gave that it
 # hears again.
-HEARD_AGAIN: Final = 1.1
-DEPUTY_SHARE: Final = 0.5
-DEPUTY_TIME: Final = 0.5  # Seconds of its rate that a deputy gives at most, until it rested.
-SLOT: Final = 0.25  # Seconds; what is given within one counts as given at its end.
+SHARE_GROWTH_TO_RESTART: Final = 1.1
+DEPUTY_PART: Final = 0.5
+DEPUTY_SECONDS: Final = 0.5  # Seconds of its rate that a deputy gives at most, until it rested.
+SLOT_SECONDS: Final = 0.25  # Seconds; what is given within one counts as given at its end.
 # Seconds between two looks at the clock after which the process stood still.
-STOOD_STILL: Final = 1.0
-DEMAND_TIME: Final = 4.0  # Seconds over which demand is averaged.
+MAX_UPDATE_GAP: Final = 1.0
+DEMAND_AVERAGING_SECONDS: Final = 4.0  # Seconds over which demand is averaged.
 # Part of its demand in a window that a zone keeps credit for when another one asks.
-KEPT: Final = 0.6
+KEPT_DEMAND_PART: Final = 0.6
 # Part of what a zone may give in a window: when less is left, it asks others for credit.
-LOW: Final = 0.2
-AHEAD: Final = 1.0  # Seconds of its demand that a zone asks others for.
-PLEA_PAUSE: Final = 0.2  # Seconds between two pleas for a team.
-LOAN_WAIT: Final = 0.5  # Seconds for which a loan is waited for.
-REFUND_TIME: Final = 20.0  # Seconds in which a grant may be given back.
-TURN_MOST: Final = 5.0  # Longest time after which a refused request is told to come back, seconds.
-LITTLE: Final = 1e-9  # Units a second, where none are given.
+LOW_LEVEL_PART: Final = 0.2
+LOAN_DEMAND_SECONDS: Final = 1.0  # Seconds of its demand that a zone asks others for.
+LOAN_REQUEST_INTERVAL: Final = 0.2  # Seconds between two pleas for a team.
+LOAN_TIMEOUT: Final = 0.5  # Seconds for which a loan is waited for.
+REFUND_SECONDS: Final = 20.0  # Seconds in which a grant may be given back.
+MAX_WAIT: Final = 5.0  # Longest time after which a refused request is told to come back, seconds.
+MIN_RATE: Final = 1e-9  # Units a second, where none are given.
 
 
 class QuotaBounds(msgspec.Struct, frozen=True):
@@ -89,7 +89,7 @@
         return whole * (1.0 + self.overshoot) + self.slack
 
 
-class Part(msgspec.Struct, frozen=True):
+class QuotaShare(msgspec.Struct, frozen=True):
     """What an instance may give of a quota.
 
     Attributes:
@@ -98,10 +98,10 @@
     """
 
     share: float
-    banker: bool
+    is_coordinator: bool
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class AcquireResult(msgspec.Struct, frozen=True):
     """The answer to a request for credit.
 
     Attributes:
@@ -114,12 +114,12 @@
 
     granted: bool
     wait: float = 0.0
-    turn: float = 0.0
-    level: float = 0.0
-    loan: bool = False
+    queue_wait: float = 0.0
+    remaining: float = 0.0
+    loan_requested: bool = False
 
 
-class Plea(msgspec.Struct, frozen=True):
+class LoanRequest(msgspec.Struct, frozen=True):
     """Units that a zone wants of others, and the number that their loans must name."""
 
     number: int
@@ -194,12 +194,12 @@
     lenders: set[str] = field(default_factory=set)
 
 
-class QuotaBank:
+class QuotaLedger:
     """The accounts of one instance."""
 
     __slots__ = ("_accounts", "_bounds", "_grants", "_looked", "_pleas")
 
-    def __init__(self, bounds: QuotaBounds, now: float, first_plea: int = 0) -> None:
+    def __init__(self, bounds: QuotaBounds, now: float, first_loan_request: int = 0) -> None:
         """Makes a bank without accounts.
 
         Args:
@@ -212,13 +212,13 @@
         self._accounts: dict[str, _Account] = {}
         self._grants: dict[tuple[str, int], _Grant] = {}
         self._looked = now
-        self._pleas = first_plea
+        self._pleas = first_loan_request
 
-    def bounds(self, bounds: QuotaBounds) -> None:
+    def set_bounds(self, bounds: QuotaBounds) -> None:
         """Takes other bounds."""
         self._bounds = bounds
 
-    def look(self, parts: Mapping[str, tuple[Quota, Part]], now: float) -> None:
+    def update(self, parts: Mapping[str, tuple[Quota, QuotaShare]], now: float) -> None:
         """Brings all accounts up to date; called several times a second.
 
         Args:
@@ -228,68 +228,76 @@
         self._forget_after_pause(now)
         for team, account in list(self._accounts.items()):
             rests = now - account.asked > self._bounds.window
-            if team not in parts or (rests and not parts[team][1].banker):
+            if team not in parts or (rests and not parts[team][1].is_coordinator):
                 del self._accounts[team]
         for team, (quota, part) in parts.items():
-            if part.banker or team in self._accounts:
+            if part.is_coordinator or team in self._accounts:
                 self._account(team, quota, part, now)
-        self._grants = {k: g for k, g in self._grants.items() if now - g.at < REFUND_TIME}
+        self._grants = {k: g for k, g in self._grants.items() if now - g.at < REFUND_SECONDS}
 
-    def ask(self, team: str, quota: Quota, part: Part, cost: float, now: float) -> Verdict:
+    def acquire(
+        self, team: str, quota: Quota, part: QuotaShare, cost: float, now: float
+    ) -> AcquireResult:
         """Takes credit for a request, if there is any."""
         self._forget_after_pause(now)
         account = self._account(team, quota, part, now)
         account.asked = now
-        account.demand += cost / DEMAND_TIME
+        account.demand += cost / DEMAND_AVERAGING_SECONDS
         left = self._left(account, quota, part, now)
         if left >= cost:
             self._give(account, cost, now)
             account.refused = max(0.0, account.refused - cost)
             account.short = 0.0
-            return Verdict(True, level=left - cost)
-        rate = max(account.most / self._bounds.window, LITTLE)
-        wait = min(TURN_MOST, (cost - left) / rate)
-        turn = min(TURN_MOST, wait + account.refused / rate)
-        account.refused = min(account.refused + cost, TURN_MOST * rate)
+            return AcquireResult(True, remaining=left - cost)
+        rate = max(account.most / self._bounds.window, MIN_RATE)
+        wait = min(MAX_WAIT, (cost - left) / rate)
+        turn = min(MAX_WAIT, wait + account.refused / rate)
+        account.refused = min(account.refused + cost, MAX_WAIT * rate)
         account.short = cost - left
-        return Verdict(False, wait, turn, left)
+        return AcquireResult(False, wait, turn, left)
 
-    def granted(self, asker: str, number: int, team: str, cost: float, now: float) -> None:
+    def record_grant(self, requester: str, number: int, team: str, cost: float, now: float) -> None:
         """Notes a grant, so that it can be given back."""
-        self._grants[asker, number] = _Grant(team, cost, now)
+        self._grants[requester, number] = _Grant(team, cost, now)
 
-    def give_back(self, asker: str, number: int) -> None:
+    def refund(self, requester: str, number: int) -> None:
         """Takes back the credit of a request that has not run and will not; once for each grant."""
-        grant = self._grants.pop((asker, number), None)
+        grant = self._grants.pop((requester, number), None)
         account = self._accounts.get(grant.team) if grant is not None else None
         if grant is None or account is None:
             return
         for slot in account.slots:
             # Where it was given: elsewhere it would open the window twice. An account that began
             # anew since does not have it.
-            if grant.at <= slot.end < grant.at + SLOT and slot.given >= grant.cost:
+            if grant.at <= slot.end < grant.at + SLOT_SECONDS and slot.given >= grant.cost:
                 slot.given -= grant.cost
                 account.given -= grant.cost
                 return
 
     # Between zones.
 
-    def plea(self, team: str, quota: Quota, part: Part, now: float) -> Plea | None:
+    def request_loan(
+        self, team: str, quota: Quota, part: QuotaShare, now: float
+    ) -> LoanRequest | None:
         """Returns what to ask other zones for; None when nothing is needed, or was just asked."""
         account = self._accounts.get(team)
-        if account is None or not part.banker or now - account.pleaded < PLEA_PAUSE:
+        if (
+            account is None
+            or not part.is_coordinator
+            or now - account.pleaded < LOAN_REQUEST_INTERVAL
+        ):
             return None
         left = self._left(account, quota, part, now)
-        if account.short <= 0.0 and left > LOW * account.most:
+        if account.short <= 0.0 and left > LOW_LEVEL_PART * account.most:
             return None
-        wanted = account.short + account.demand * AHEAD
+        wanted = account.short + account.demand * LOAN_DEMAND_SECONDS
         self._pleas += 1
         account.pleaded, account.plea, account.lenders = now, self._pleas, set()
-        return Plea(account.plea, wanted)
+        return LoanRequest(account.plea, wanted)
 
-    def lend(self, team: str, quota: Quota, part: Part, wanted: float, now: float) -> float:
+    def lend(self, team: str, quota: Quota, part: QuotaShare, wanted: float, now: float) -> float:
         """Takes units for another zone out of an account; returns how many."""
-        if not part.banker:
+        if not part.is_coordinator:
             return 0.0
         self._forget_after_pause(now)
         account = self._account(team, quota, part, now)
@@ -297,17 +305,23 @@
         while account.lent and account.lent[0][0] <= now - window:
             account.lent.popleft()
         lent = sum(units for _, units in account.lent)
-        spare = account.most - lent - KEPT * account.demand * window
+        spare = account.most - lent - KEPT_DEMAND_PART * account.demand * window
         units = max(0.0, min(wanted, spare, self._left(account, quota, part, now)))
         if units > 0.0:
             self._give(account, units, now)
             account.lent.append((now, units))
         return units
 
-    def borrowed(self, team: str, plea: int, lender: str, units: float, now: float) -> bool:
+    def accept_loan(
+        self, team: str, request_number: int, lender: str, units: float, now: float
+    ) -> bool:
         """Takes a loan over; False when it is not waited for, or was taken over before."""
         account = self._accounts.get(team)
-        if account is None or account.plea != plea or now - account.pleaded > LOAN_WAIT:
+        if (
+            account is None
+            or account.plea != request_number
+            or now - account.pleaded > LOAN_TIMEOUT
+        ):
             return False
         if lender in account.lenders or account.pleaded < account.began:
             return False
@@ -317,36 +331,39 @@
 
     # Accounts.
 
-    def _account(self, team: str, quota: Quota, part: Part, now: float) -> _Account:
+    def _account(self, team: str, quota: Quota, part: QuotaShare, now: float) -> _Account:
         """Returns a team's account as of now; a new one if there was none."""
         account = self._accounts.get(team)
         if account is None:
-            account = self._accounts[team] = _Account(now, part.banker, part.share)
+            account = self._accounts[team] = _Account(now, part.is_coordinator, part.share)
             self._begin(account, quota, part, now)
-        elif part.banker is not account.banker or part.share > HEARD_AGAIN * account.share:
+        elif (
+            part.is_coordinator is not account.banker
+            or part.share > SHARE_GROWTH_TO_RESTART * account.share
+        ):
             self._begin(account, quota, part, now)
         account.share = min(account.share, part.share)
         self._advance(account, quota, part, now)
         return account
 
-    def _begin(self, account: _Account, quota: Quota, part: Part, now: float) -> None:
+    def _begin(self, account: _Account, quota: Quota, part: QuotaShare, now: float) -> None:
         """Lets an account begin without knowledge of what others gave before."""
         first = self._first(quota, part)
         if account.began > now - self._bounds.window:
             # What it may give without knowledge is given once in a window, however often it begins.
             first = max(0.0, min(first, account.allowed - account.given))
         account.allowed, account.given = first, 0.0
-        account.banker, account.share = part.banker, part.share
+        account.banker, account.share = part.is_coordinator, part.share
         account.began = account.at = now
         for slot in account.slots:
             slot.seconds = slot.shared = 0.0
         account.lent.clear()
 
-    def _first(self, quota: Quota, part: Part) -> float:
-        share = part.share * (1.0 if part.banker else DEPUTY_SHARE)
-        return FIRST * self._bounds.bound(quota) * share
+    def _first(self, quota: Quota, part: QuotaShare) -> float:
+        share = part.share * (1.0 if part.is_coordinator else DEPUTY_PART)
+        return INITIAL_PART * self._bounds.bound(quota) * share
 
-    def _advance(self, account: _Account, quota: Quota, part: Part, now: float) -> None:
+    def _advance(self, account: _Account, quota: Quota, part: QuotaShare, now: float) -> None:
         """Counts the time since the last look."""
         window = self._bounds.window
         passed = max(0.0, now - account.at)
@@ -356,14 +373,14 @@
         slot.shared += passed * part.share
         while account.slots[0].end <= now - window:
             account.slots.popleft()
-        rate = RESTART * quota.rate * part.share
+        rate = RESTART_RATE_PART * quota.rate * part.share
         account.allowed += rate * passed
-        if not part.banker:
-            most = self._first(quota, part) + DEPUTY_SHARE * rate * DEPUTY_TIME
+        if not part.is_coordinator:
+            most = self._first(quota, part) + DEPUTY_PART * rate * DEPUTY_SECONDS
             account.allowed = min(account.allowed, most)
         self._take_bound(account, self._bounds.bound(quota))
-        account.most = USED * account.bound * _mean_share(account, part)
-        account.demand *= math.exp(-passed / DEMAND_TIME)
+        account.most = USABLE_PART * account.bound * _mean_share(account, part)
+        account.demand *= math.exp(-passed / DEMAND_AVERAGING_SECONDS)
         account.refused = max(0.0, account.refused - account.most / window * passed)
 
     @staticmethod
@@ -376,15 +393,15 @@
             account.given *= part
         account.bound = bound
 
-    def _left(self, account: _Account, quota: Quota, part: Part, now: float) -> float:
+    def _left(self, account: _Account, quota: Quota, part: QuotaShare, now: float) -> float:
         """Returns the units that may be given now."""
         left = account.allowed - account.given
-        if not part.banker:
+        if not part.is_coordinator:
             return left
         window = self._bounds.window
         if now - account.began >= window:
             left = math.inf
-        restart = RESTART * quota.rate * part.share
+        restart = RESTART_RATE_PART * quota.rate * part.share
         given = 0.0
         left = min(left, account.most - restart * window)
         for slot in reversed(account.slots):
@@ -400,14 +417,14 @@
 
     def _forget_after_pause(self, now: float) -> None:
         """Forgets all accounts if the process stood still: others may have given meanwhile."""
-        if now - self._looked > STOOD_STILL:
+        if now - self._looked > MAX_UPDATE_GAP:
             self._accounts.clear()
         self._looked = max(self._looked, now)
 
 
 def _slot_at(account: _Account, at: float) -> _Slot:
     """Returns the slot of a time, which is hardly ever far from the last one."""
-    end = SLOT * math.ceil(at / SLOT)
+    end = SLOT_SECONDS * math.ceil(at / SLOT_SECONDS)
     place = len(account.slots)
     while place and account.slots[place - 1].end >= end:
         place -= 1
@@ -418,7 +435,7 @@
     return slot
 
 
-def _mean_share(account: _Account, part: Part) -> float:
+def _mean_share(account: _Account, part: QuotaShare) -> float:
     """Returns the mean of the zone's shares that were heard over the last window."""
     seconds = sum(slot.seconds for slot in account.slots)
     if seconds <= 0.0:
--- a/packages/wigeonarch-core/src/wigeonarch_core/inorder.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/reorder_buffer.py
@@ -13,31 +13,31 @@
 
 Piece = TypeVar("Piece")
 
-AHEAD: Final = 32
+MAX_AHEAD: Final = 32
 
 
-class InOrder(Generic[Piece]):
+class ReorderBuffer(Generic[Piece]):
     """Pieces that came ahead of their turn, and the number of the next one due.
 
     Attributes:
         due: Number of the next piece to give out.
     """
 
-    __slots__ = ("_ahead", "due")
+    __slots__ = ("_ahead", "next_number")
 
     def __init__(self, due: int) -> None:
-        self.due = due
+        self.next_number = due
         self._ahead: dict[int, Piece] = {}
 
-    def put(self, number: int, piece: Piece) -> list[Piece] | None:
+    def add(self, number: int, piece: Piece) -> list[Piece] | None:
         """Takes a piece; returns those that are due now, or None when too many are missing."""
-        if number < self.due:
+        if number < self.next_number:
             return []
-        if number >= self.due + AHEAD:
+        if number >= self.next_number + MAX_AHEAD:
             return None
         self._ahead[number] = piece
         ready: list[Piece] = []
-        while self.due in self._ahead:
-            ready.append(self._ahead.pop(self.due))
-            self.due += 1
+        while self.next_number in self._ahead:
+            ready.append(self._ahead.pop(self.next_number))
+            self.next_number += 1
         return ready
--- a/packages/wigeonarch-core/src/wigeonarch_core/replica.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/replica.py
@@ -19,18 +19,18 @@
 from wigeonarch_core.changelog import Change, Result, Snapshot
 
 # Early elements that are kept; a reading of the log brings the others again.
-WAITING: Final = 1000
+MAX_EARLY_CHANGES: Final = 1000
 
 
-class Tail(enum.Enum):
+class LogComparison(enum.Enum):
     """How the log in the platform compares with the copy."""
 
     SAME = "same"  # It holds the last change applied here.
     TRIMMED = "trimmed"  # It begins later: a snapshot is to be read.
-    WENT_BACK = "went_back"  # It ends earlier, or holds another change in that place.
+    ROLLED_BACK = "went_back"  # It ends earlier, or holds another change in that place.
 
 
-class Mark(msgspec.Struct, frozen=True):
+class LogPosition(msgspec.Struct, frozen=True):
     """How far a copy was when a reading of the log began.
 
     A watch may bring more while the log is being read; what was read is not to be compared with
@@ -45,12 +45,14 @@
     last: str
 
 
-def mark_of(catalogue: Catalogue) -> Mark:
+def position_of(catalogue: Catalogue) -> LogPosition:
     """Returns how far a copy is now."""
-    return Mark(catalogue.applied, catalogue.last)
+    return LogPosition(catalogue.applied, catalogue.last)
 
 
-def judge_tail(mark: Mark, first: tuple[int, Change] | None, snapshot: int) -> Tail:
+def compare_log(
+    position: LogPosition, first: tuple[int, Change] | None, snapshot: int
+) -> LogComparison:
     """Compares the log with the copy.
 
     Args:
@@ -58,12 +60,14 @@
         first: First element of the log with a number of at least `mark.applied`.
         snapshot: Number of the newest snapshot; 0 without one.
     """
-    applied = mark.applied
+    applied = position.applied
     if first is not None and first[0] == applied:
-        return Tail.SAME if first[1].operation == mark.last else Tail.WENT_BACK
+        return (
+            LogComparison.SAME if first[1].operation == position.last else LogComparison.ROLLED_BACK
+        )
     if applied == 0 and (first is None or first[0] == 1) and snapshot == 0:
-        return Tail.SAME
-    return Tail.TRIMMED if snapshot > applied else Tail.WENT_BACK
+        return LogComparison.SAME
+    return LogComparison.TRIMMED if snapshot > applied else LogComparison.ROLLED_BACK
 
 
 class Replica:
@@ -77,14 +81,21 @@
         went_back: Whether the log was found to have gone back.
     """
 
-    __slots__ = ("_waiting", "catalogue", "caught_up", "informed", "tried", "went_back")
+    __slots__ = (
+        "_waiting",
+        "catalogue",
+        "caught_up_at",
+        "has_configuration",
+        "last_attempt",
+        "rolled_back",
+    )
 
     def __init__(self) -> None:
         self.catalogue = Catalogue()
-        self.informed = False
-        self.caught_up: float | None = None
-        self.tried: float | None = None
-        self.went_back = False
+        self.has_configuration = False
+        self.caught_up_at: float | None = None
+        self.last_attempt: float | None = None
+        self.rolled_back = False
         self._waiting: dict[int, Change] = {}
 
     @property
@@ -92,35 +103,35 @@
         """Whether elements are kept that cannot be applied yet."""
         return bool(self._waiting)
 
-    def take(self, number: int, change: Change) -> list[Result]:
+    def add(self, number: int, change: Change) -> list[Result]:
         """Takes an element of the log; returns the verdicts on all that could be applied."""
-        if self.went_back or number <= self.catalogue.applied:
+        if self.rolled_back or number <= self.catalogue.applied:
             return []
-        if len(self._waiting) < WAITING or number == self.catalogue.applied + 1:
+        if len(self._waiting) < MAX_EARLY_CHANGES or number == self.catalogue.applied + 1:
             self._waiting[number] = change
         return self._apply_waiting()
 
     def restore(self, snapshot: Snapshot) -> bool:
         """Takes over a newer snapshot."""
-        if self.went_back or not self.catalogue.restore(snapshot):
+        if self.rolled_back or not self.catalogue.restore(snapshot):
             return False
         applied = self.catalogue.applied
         self._waiting = {n: change for n, change in self._waiting.items() if n > applied}
         self._apply_waiting()
         return True
 
-    def judged(self, tail: Tail) -> bool:
+    def record_comparison(self, tail: LogComparison) -> bool:
         """Notes how the log compares; tells whether that is news for the operator."""
-        was = self.went_back
-        self.went_back = tail is Tail.WENT_BACK
-        return was != self.went_back
+        was = self.rolled_back
+        self.rolled_back = tail is LogComparison.ROLLED_BACK
+        return was != self.rolled_back
 
-    def read(self, began: float, whole: bool) -> None:
+    def record_read(self, began: float, whole: bool) -> None:
         """Notes that a try to read the log to its end, begun at `began`, has ended."""
-        self.tried = began
+        self.last_attempt = began
         if whole:
-            self.caught_up = began
-            self.informed = True
+            self.caught_up_at = began
+            self.has_configuration = True
 
     def _apply_waiting(self) -> list[Result]:
         results = []
--- a/packages/wigeonarch-core/src/wigeonarch_core/retry.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/retry.py
@@ -13,8 +13,8 @@
 from typing import Final
 
 RESERVE: Final = 10.0
-PAUSE_LEAST: Final = 0.02
-PAUSE_MOST: Final = 1.0
+MIN_PAUSE: Final = 0.02
+MAX_PAUSE: Final = 1.0
 
 
 class RetryBudget:
@@ -28,12 +28,12 @@
         self._reserve = reserve
         self._balances: dict[str, float] = {}
 
-    def fresh(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Notes a fresh request."""
         balance = self._balances.get(service, self._reserve)
         self._balances[service] = min(self._reserve, balance + self._share)
 
-    def spend(self, service: str) -> bool:
+    def try_spend(self, service: str) -> bool:
         """Takes one retry from the balance; False when there is none left."""
         balance = self._balances.get(service, self._reserve)
         if balance < 1.0:
@@ -42,7 +42,7 @@
         return True
 
 
-def full_jitter(attempt: int, least: float, most: float, rng: Random) -> float:
+def full_jitter(attempt: int, first_bound: float, max_bound: float, rng: Random) -> float:
     """Returns a pause in seconds, uniform between 0 and a bound that doubles with each attempt.
 
     Args:
@@ -51,4 +51,4 @@
         most: Bound that is never exceeded, in seconds.
         rng: Source of random numbers.
     """
-    return rng.uniform(0.0, min(most, least * 2.0**attempt))
+    return rng.uniform(0.0, min(max_bound, first_bound * 2.0**attempt))
--- a/packages/wigeonarch-core/src/wigeonarch_core/retry_window.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/retry_window.py
@@ -21,7 +21,7 @@
 class RetryWindow:
     """Fresh and repeated sends of one instance, per service, over a sliding window."""
 
-    __slots__ = ("_allowance", "_fresh", "_instances", "_repeats", "_share", "_window")
+    __slots__ = ("_allowance", "_fresh", "_instances", "_retries", "_share", "_window")
 
     def __init__(self, share: float, allowance: float, window: float) -> None:
         """Makes an empty window.
@@ -31,36 +31,36 @@
             allowance: Repeats allowed besides, over all instances.
             window: Its length, in seconds.
         """
-        self.bounds(share, allowance, window)
+        self.set_bounds(share, allowance, window)
         self._instances = 1
         self._fresh: dict[str, deque[float]] = {}
-        self._repeats: dict[str, deque[float]] = {}
+        self._retries: dict[str, deque[float]] = {}
 
-    def bounds(self, share: float, allowance: float, window: float) -> None:
+    def set_bounds(self, share: float, allowance: float, window: float) -> None:
         """Takes other bounds; what was counted stays."""
         self._share = share * SHARE_USED
         self._allowance = allowance * ALLOWANCE_USED
         self._window = window
 
-    def heard_of(self, instances: int) -> None:
+    def note_instance_count(self, instances: int) -> None:
         """Notes how many instances there are, this one included."""
         self._instances = max(self._instances, instances)
 
-    def fresh(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Notes a fresh request."""
         self._fresh.setdefault(service, deque()).append(now)
 
-    def left(self, service: str, now: float) -> float:
+    def remaining(self, service: str, now: float) -> float:
         """Returns how many repeats may be sent now; below 1 means none."""
         fresh = self._count(self._fresh, service, now)
-        spent = self._count(self._repeats, service, now)
+        spent = self._count(self._retries, service, now)
         return self._share * fresh + self._allowance / self._instances - spent
 
-    def spend(self, service: str, now: float) -> bool:
+    def try_spend(self, service: str, now: float) -> bool:
         """Takes one repeat; False when none is left."""
-        if self.left(service, now) < 1.0:
+        if self.remaining(service, now) < 1.0:
             return False
-        self._repeats.setdefault(service, deque()).append(now)
+        self._retries.setdefault(service, deque()).append(now)
         return True
 
     def _count(self, table: dict[str, deque[float]], service: str, now: float) -> int:
--- a/packages/wigeonarch-core/src/wigeonarch_core/revisions.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/revisions.py
@@ -12,19 +12,19 @@
 
 # Revisions of an era: at 3,000 writes a second it lasts eleven years. The numbers of 8,000 eras are
 # exact as floating-point numbers, as which a reader of JSON may take a fencing number.
-ERA_SPAN: Final = 1 << 40
+REVISIONS_PER_ERA: Final = 1 << 40
 
 
-def in_era(era: int, revision: int) -> int:
+def global_revision(era: int, revision: int) -> int:
     """Returns a store's revision as a number that rises over eras."""
-    return era * ERA_SPAN + revision
+    return era * REVISIONS_PER_ERA + revision
 
 
 def era_of(revision: int) -> int:
     """Returns the era of such a number."""
-    return revision // ERA_SPAN
+    return revision // REVISIONS_PER_ERA
 
 
-def within_era(revision: int) -> int:
+def store_revision(revision: int) -> int:
     """Returns the store's own revision of such a number."""
-    return revision % ERA_SPAN
+    return revision % REVISIONS_PER_ERA
--- a/packages/wigeonarch-core/src/wigeonarch_core/routes.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/routes.py
@@ -21,7 +21,7 @@
 SLASH = "/"
 
 
-class Kind(enum.StrEnum):
+class RouteKind(enum.StrEnum):
     """What may be repeated."""
 
     IDEMPOTENT = "idempotent"
@@ -29,7 +29,7 @@
     STREAMING = "streaming"
 
 
-class Share(msgspec.Struct, frozen=True):
+class WeightedService(msgspec.Struct, frozen=True):
     """A service and its weight in the split of a route."""
 
     service: str
@@ -57,8 +57,8 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
-    split: tuple[Share, ...]
+    kind: RouteKind
+    split: tuple[WeightedService, ...]
     attempts: int
     timeout: float
     objective: float
@@ -70,7 +70,7 @@
     @property
     def repeatable(self) -> bool:
         """Tells whether a request that may have run may be sent again."""
-        return self.kind is Kind.IDEMPOTENT
+        return self.kind is RouteKind.IDEMPOTENT
 
 
 class ModelSpec(msgspec.Struct, frozen=True):
--- a/packages/wigeonarch-core/src/wigeonarch_core/routing.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/routing.py
@@ -29,20 +29,20 @@
     adapter = f"{model.service}/{model.adapter}"
     if catalogue.get(EntryKey(EntryKind.ADAPTER, adapter)) is None:
         return Unresolved(Reason.NO_SUCH_ADAPTER)
-    name = model.version or _routed(catalogue, adapter, draw)
+    name = model.version or _version_by_rule(catalogue, adapter, draw)
     if catalogue.get(EntryKey(EntryKind.VERSION, f"{adapter}@{name}")) is None:
         return Unresolved(Reason.NO_SUCH_VERSION)
     return AdapterVersion(model.service, model.adapter, name)
 
 
-def _routed(catalogue: Catalogue, adapter: str, draw: float) -> str:
+def _version_by_rule(catalogue: Catalogue, adapter: str, draw: float) -> str:
     stored = catalogue.get(EntryKey(EntryKind.RULE, adapter))
     if stored is None or not isinstance(stored.entry, Rule):
         return ""
-    return _pick(stored.entry.splits, draw)
+    return _pick_version(stored.entry.splits, draw)
 
 
-def _pick(splits: tuple[Split, ...], draw: float) -> str:
+def _pick_version(splits: tuple[Split, ...], draw: float) -> str:
     mark = draw * sum(split.weight for split in splits)
     for split in splits:
         mark -= split.weight
--- a/packages/wigeonarch-core/src/wigeonarch_core/scheduler.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/scheduler.py
@@ -16,7 +16,7 @@
 from wigeonarch_core.backoff import LoadBackoff
 from wigeonarch_core.decisions import Bid, Grant, Refuse, StartLoad
 from wigeonarch_core.engine_report import MS_PER_SECOND, EngineReport
-from wigeonarch_core.messages import Ask, EngineSummary
+from wigeonarch_core.messages import EngineSummary, GrantRequest
 from wigeonarch_core.outcomes import Reason
 from wigeonarch_core.pins import Pin, PinTable
 from wigeonarch_core.policy_options import PolicyOptions
@@ -89,10 +89,10 @@
         """Incarnation in the engine's last report; empty before the first."""
         return self._slots.incarnation
 
-    def report(self, rep: EngineReport, now: float) -> None:
+    def apply_report(self, rep: EngineReport, now: float) -> None:
         """Takes in the engine's report, which lags by its age."""
         sampled = now - rep.age_ms / MS_PER_SECOND
-        if self._slots.apply(rep, self.service, sampled):
+        if self._slots.apply_report(rep, self.service, sampled):
             # What it has loaded now was loaded after the restart, and so may be in use.
             self._pins.keep_only({target for target, _ in self._slots.loaded()})
             self._victims.clear()
@@ -100,86 +100,93 @@
         self._leaving = rep.state == "leaving"
         # What the engine itself queues is of no known adapter version.
         if rep.waiting == 0:
-            self._pins.drop_overdue(sampled - self._opts.pin_margin, self._slots.idle_by_report)
+            self._pins.remove_overdue(
+                sampled - self._opts.pin_margin, self._slots.is_idle_by_report
+            )
 
-    def ask(self, ask: Ask, now: float) -> Refuse | None:
+    def submit(self, request: GrantRequest, now: float) -> Refuse | None:
         """Queues an ask, or refuses it at once; asking twice changes nothing."""
-        if ask.ask in self._queue or ask.ask in self._pins:
+        if request.dispatch_id in self._queue or request.dispatch_id in self._pins:
             return None
-        reason = self._refusal(ask, now)
+        reason = self._refusal_reason(request, now)
         if reason is not None:
-            return Refuse(ask.ask, ask.asker, reason, self._retry_after(ask.target, now))
-        self._rates.add(ask.target, now)
-        self._queue.put(ask, now, cold=not self._slots.ready(ask.target))
+            return Refuse(
+                request.dispatch_id,
+                request.requester,
+                reason,
+                self._retry_after(request.target, now),
+            )
+        self._rates.add(request.target, now)
+        self._queue.enqueue(request, now, cold=not self._slots.is_ready(request.target))
         return None
 
-    def release(self, ask_id: str, now: float) -> None:
+    def release(self, dispatch_id: str, now: float) -> None:
         """Ends a grant, or withdraws an ask that still waits."""
-        pin = self._pins.drop(ask_id)
+        pin = self._pins.remove(dispatch_id)
         if pin is None:
-            self._queue.take(ask_id)
+            self._queue.remove(dispatch_id)
             return
-        self._note_hold(now - pin.since, pin.tokens)
+        self._measure_hold(now - pin.since, pin.tokens)
 
     def decide(self, now: float) -> list[Grant | Refuse]:
         """Returns the grants and refusals that are due."""
         decided: list[Grant | Refuse] = list(self._refusals)
         self._refusals.clear()
-        late = self._queue.expired(now)
+        late = self._queue.pop_expired(now)
         decided.extend(self._refuse(waiting, Reason.DEADLINE, now) for waiting in late)
         if self._leaving:
             decided.extend(self._refuse_all(Reason.ENDPOINT_LEAVING, now))
             return decided
-        while self._places() > 0:
-            waiting = self._queue.first(self._slots.in_state(SlotState.LOADED))
+        while self._free_batch_places() > 0:
+            waiting = self._queue.peek(self._slots.in_state(SlotState.LOADED))
             if waiting is None:
                 break
             decided.append(self._grant(waiting, now))
         return decided
 
-    def bid(self, now: float) -> Bid | None:
+    def best_bid(self, now: float) -> Bid | None:
         """Returns the load that would save most; None when none is wanted or possible."""
         if self._leaving:
             return None
-        victim = None if self._slots.has_free() else self._victim(now)
+        victim = None if self._slots.has_free() else self._choose_victim(now)
         if victim is None and not self._slots.has_free():
             return None
-        wanted = [target for target in self._queue.targets() if self._loadable(target, now)]
-        bids = [Bid(target, self._value(target, victim, now), victim) for target in wanted]
+        wanted = [target for target in self._queue.targets() if self._may_load(target, now)]
+        bids = [Bid(target, self._bid_value(target, victim, now), victim) for target in wanted]
         return max(bids, key=lambda bid: (bid.value, bid.target), default=None)
 
     def start_load(self, target: AdapterVersion, now: float) -> StartLoad | None:
         """Begins a load whose turn has come; None when it is no longer wanted or possible."""
-        if self._leaving or not self._queue.held_by_target(target):
+        if self._leaving or not self._queue.count_by_target(target):
             return None
-        if not self._loadable(target, now):
+        if not self._may_load(target, now):
             return None
-        victim = None if self._slots.has_free() else self._victim(now)
+        victim = None if self._slots.has_free() else self._choose_victim(now)
         if victim is None and not self._slots.has_free():
             return None
-        self._slots.begin(target, victim, now)
+        self._slots.begin_load(target, victim, now)
         if victim is not None:
             self._victims[target] = victim
         return StartLoad(target, victim)
 
-    def load_ended(self, target: AdapterVersion, ok: bool, now: float) -> None:
+    def finish_load(self, target: AdapterVersion, ok: bool, now: float) -> None:
         """Notes that the orders of a load, the eviction included, have ended for certain."""
-        self._note_load(target, now)
+        self._measure_load_gap(target, now)
         victim = self._victims.pop(target, None)
         if victim is not None:
             self._slots.end_eviction(victim, now)
         if not self._slots.end_load(target, ok, now):
             return
         if ok:
-            self._backoff.succeeded(target)
+            self._backoff.record_success(target)
             return
-        self._backoff.failed(target, now)
+        self._backoff.record_failure(target, now)
         if self._backoff.exhausted(target):
             waiting = self._queue.waiting_for(target)
             self._refusals.extend(self._refuse(each, Reason.LOAD_FAILED, now) for each in waiting)
 
     def adopt_pin(
-        self, ask: str, asker: str, target: AdapterVersion, remaining: float, now: float
+        self, dispatch_id: str, requester: str, target: AdapterVersion, remaining: float, now: float
     ) -> None:
         """Takes in a pin that a peer declares.
 
@@ -190,12 +197,12 @@
             remaining: Seconds until the request's hard deadline.
             now: The time in seconds.
         """
-        self._queue.take(ask)
-        self._pins.add(Pin(ask, asker, target, now + remaining, now))
+        self._queue.remove(dispatch_id)
+        self._pins.add(Pin(dispatch_id, requester, target, now + remaining, now))
 
-    def pinned(self, ask_id: str) -> bool:
+    def is_pinned(self, dispatch_id: str) -> bool:
         """Tells whether an ask holds a pin."""
-        return ask_id in self._pins
+        return dispatch_id in self._pins
 
     def pin_count(self, target: AdapterVersion) -> int:
         """Returns how many pins an adapter version has."""
@@ -209,29 +216,29 @@
         """Returns the asks that wait, first come first."""
         return sorted(self._queue, key=lambda waiting: waiting.since)
 
-    def pins_of(self, asker: str) -> list[Pin]:
+    def pins_of(self, requester: str) -> list[Pin]:
         """Returns the pins that an instance holds."""
-        return self._pins.of(asker)
+        return self._pins.held_by(requester)
 
-    def drop_asker(self, asker: str, now: float) -> None:
+    def drop_requester(self, requester: str, now: float) -> None:
         """Withdraws the asks of a silent instance; its pins stay until overdue and idle."""
         for waiting in self._queue:
-            if waiting.ask.asker == asker:
-                self._queue.take(waiting.ask.ask)
+            if waiting.request.requester == requester:
+                self._queue.remove(waiting.request.dispatch_id)
 
     def summary(self, fence: int) -> EngineSummary:
         """Returns what peers need for choosing among engines."""
-        cold = self._cold()
-        cold.sort(key=self._queue.held_by_target, reverse=True)
+        cold = self._targets_without_slot()
+        cold.sort(key=self._queue.count_by_target, reverse=True)
         loading = self._slots.in_state(SlotState.LOADING)
         return EngineSummary(
             engine=self.engine,
             fence=fence,
             loaded=tuple(self._slots.in_state(SlotState.LOADED)),
             coming=(*loading, *cold[: self._opts.coming_listed]),
-            free=max(0, self._places()),
+            free=max(0, self._free_batch_places()),
             queued=len(self._queue),
-            wait=self._expected_wait(),
+            wait=self._expected_wait_if_loaded(),
             incarnation=self.incarnation,
             leaving=self._leaving,
             backlog=len(cold) + len(loading),
@@ -247,36 +254,40 @@
         """Refuses all that wait; the engine has a new owner or none."""
         return self._refuse_all(Reason.NO_OWNER, now)
 
-    def _refusal(self, ask: Ask, now: float) -> Reason | None:
+    def _refusal_reason(self, ask: GrantRequest, now: float) -> Reason | None:
         if self._leaving:
             return Reason.ENDPOINT_LEAVING
         if ask.remaining <= 0.0:
             return Reason.DEADLINE
-        if self._backoff.exhausted(ask.target) and not self._backoff.may_try(ask.target, now):
+        if self._backoff.exhausted(ask.target) and not self._backoff.may_load(ask.target, now):
             return Reason.LOAD_FAILED
         limit = self._opts.queue_limit
         if len(self._queue) >= limit:
             return Reason.QUEUE_FULL
         if len(self._queue) * 2 < limit:
-            return self._late(ask)
-        if self._queue.held_by_caller(ask.caller) >= self._opts.caller_share * limit:
+            return self._refusal_if_late(ask)
+        if self._queue.count_by_caller(ask.caller) >= self._opts.caller_share * limit:
             return Reason.FAIR_SHARE
-        if self._queue.held_by_target(ask.target) >= self._opts.adapter_share * limit:
+        if self._queue.count_by_target(ask.target) >= self._opts.adapter_share * limit:
             return Reason.FAIR_SHARE
-        return self._late(ask)
+        return self._refusal_if_late(ask)
 
-    def _late(self, ask: Ask) -> Reason | None:
-        return Reason.DEADLINE if self._wait_for(ask.target) > ask.remaining else None
+    def _refusal_if_late(self, ask: GrantRequest) -> Reason | None:
+        return Reason.DEADLINE if self._expected_wait_for(ask.target) > ask.remaining else None
 
-    def _wait_for(self, target: AdapterVersion) -> float:
+    def _expected_wait_for(self, target: AdapterVersion) -> float:
         """Returns the seconds that a new ask is expected to wait, its load included."""
-        first = self._slots.get(target) is None and not self._queue.held_by_target(target)
-        return len(self._cold()) * self._load_gap if first else self._expected_wait()
+        first = self._slots.get(target) is None and not self._queue.count_by_target(target)
+        return (
+            len(self._targets_without_slot()) * self._load_gap
+            if first
+            else self._expected_wait_if_loaded()
+        )
 
-    def _cold(self) -> list[AdapterVersion]:
+    def _targets_without_slot(self) -> list[AdapterVersion]:
         return [each for each in self._queue.targets() if self._slots.get(each) is None]
 
-    def _note_load(self, target: AdapterVersion, now: float) -> None:
+    def _measure_load_gap(self, target: AdapterVersion, now: float) -> None:
         """Measures the time between loads, or from the wish for a load to its end after a pause.
 
         Each load that ends gives a sample, so an estimate from a slow spell is soon forgotten.
@@ -284,77 +295,86 @@
         wished = min((each.since for each in self._queue.waiting_for(target)), default=now)
         since = self._load_ended_at if self._load_ended_at >= 0.0 else wished
         self._load_gap = _smoothed(self._load_gap, now - since, GAP_SMOOTHING)
-        self._load_ended_at = now if self._cold() else -1.0
+        self._load_ended_at = now if self._targets_without_slot() else -1.0
 
-    def _places(self) -> int:
+    def _free_batch_places(self) -> int:
         return self._max_batch + self._opts.overcommit - len(self._pins)
 
-    def _expected_wait(self) -> float:
+    def _expected_wait_if_loaded(self) -> float:
         """Returns the seconds that one more ask for a loaded adapter is expected to wait."""
-        ready = sum(self._queue.held_by_target(each) for each, _ in self._slots.loaded())
-        behind = ready + 1 - self._places()
-        return max(0, behind) * self._drain_seconds()
+        ready = sum(self._queue.count_by_target(each) for each, _ in self._slots.loaded())
+        behind = ready + 1 - self._free_batch_places()
+        return max(0, behind) * self._seconds_per_grant()
 
-    def _drain_seconds(self) -> float:
+    def _seconds_per_grant(self) -> float:
         return self._hold_seconds / max(1, self._max_batch)
 
-    def _note_hold(self, held: float, tokens: int) -> None:
+    def _measure_hold(self, held: float, tokens: int) -> None:
         self._hold_seconds = _smoothed(self._hold_seconds, held)
         if tokens:
             self._token_seconds = _smoothed(self._token_seconds, held / tokens)
 
     def _retry_after(self, target: AdapterVersion, now: float) -> float:
-        backlog = (len(self._queue) + 1) * self._drain_seconds()
-        loads = self._wait_for(target)
+        backlog = (len(self._queue) + 1) * self._seconds_per_grant()
+        loads = self._expected_wait_for(target)
         wait = max(backlog, loads, self._backoff.remaining(target, now), self._opts.retry_least)
         return min(wait, self._opts.retry_most)
 
     def _grant(self, waiting: Waiting, now: float) -> Grant:
-        ask = waiting.ask
-        self._queue.serve(waiting)
-        self._pins.add(Pin(ask.ask, ask.asker, ask.target, waiting.deadline, now, ask.tokens))
-        return Grant(ask.ask, ask.asker, now - waiting.since, self._stalled(waiting, now))
-
-    def _stalled(self, waiting: Waiting, now: float) -> float:
-        slot = self._slots.get(waiting.ask.target)
-        if not waiting.cold or slot is None:
+        ask = waiting.request
+        self._queue.remove_granted(waiting)
+        self._pins.add(
+            Pin(ask.dispatch_id, ask.requester, ask.target, waiting.deadline, now, ask.tokens)
+        )
+        return Grant(
+            ask.dispatch_id, ask.requester, now - waiting.since, self._load_wait(waiting, now)
+        )
+
+    def _load_wait(self, waiting: Waiting, now: float) -> float:
+        slot = self._slots.get(waiting.request.target)
+        if not waiting.lacked_adapter or slot is None:
             return 0.0
         return max(0.0, min(now, slot.since) - waiting.since)
 
     def _refuse(self, waiting: Waiting, reason: Reason, now: float) -> Refuse:
-        self._queue.take(waiting.ask.ask)
-        ask = waiting.ask
-        return Refuse(ask.ask, ask.asker, reason, self._retry_after(ask.target, now))
+        self._queue.remove(waiting.request.dispatch_id)
+        ask = waiting.request
+        return Refuse(ask.dispatch_id, ask.requester, reason, self._retry_after(ask.target, now))
 
     def _refuse_all(self, reason: Reason, now: float) -> list[Refuse]:
         return [self._refuse(waiting, reason, now) for waiting in self._queue]
 
-    def _loadable(self, target: AdapterVersion, now: float) -> bool:
-        return self._slots.get(target) is None and self._backoff.may_try(target, now)
+    def _may_load(self, target: AdapterVersion, now: float) -> bool:
+        return self._slots.get(target) is None and self._backoff.may_load(target, now)
 
-    def _victim(self, now: float) -> AdapterVersion | None:
+    def _choose_victim(self, now: float) -> AdapterVersion | None:
         guard = self._opts.thrash_guard
-        return eviction.least_valuable(
+        return eviction.choose_victim(
             self._slots, self._pins, self._queue, self._rates, now, guard, self.may_evict
         )
 
-    def _value(self, target: AdapterVersion, victim: AdapterVersion | None, now: float) -> float:
+    def _bid_value(
+        self, target: AdapterVersion, victim: AdapterVersion | None, now: float
+    ) -> float:
         waiting = self._queue.waiting_for(target)
-        claims = sum(self._claim(each, now) for each in waiting)
+        claims = sum(self._load_claim(each, now) for each in waiting)
         keep = self._opts.keep_horizon
         lost = 0.0 if victim is None else self._rates.rate(victim, now) * keep
         stalls = claims + self._rates.rate(target, now) * keep - lost
-        worth = self._opts.stall_weight * stalls + self._opts.batch_weight * self._filled(waiting)
+        worth = (
+            self._opts.stall_weight * stalls
+            + self._opts.batch_weight * self._batch_place_seconds(waiting)
+        )
         return worth / self._opts.load_seconds
 
-    def _claim(self, waiting: Waiting, now: float) -> float:
+    def _load_claim(self, waiting: Waiting, now: float) -> float:
         """Returns an ask's claim to a load: 1 when it comes, growing slowly as it waits."""
         return 1.0 + self._opts.age_weight * (now - waiting.since)
 
-    def _filled(self, waiting: list[Waiting]) -> float:
+    def _batch_place_seconds(self, waiting: list[Waiting]) -> float:
         """Returns the place-seconds that free batch places would be busy with these asks."""
-        tokens = sorted((each.ask.tokens for each in waiting), reverse=True)
-        return self._token_seconds * sum(tokens[: max(0, self._places())])
+        tokens = sorted((each.request.tokens for each in waiting), reverse=True)
+        return self._token_seconds * sum(tokens[: max(0, self._free_batch_places())])
 
 
 def _smoothed(before: float, value: float, smoothing: float = HOLD_SMOOTHING) -> float:
--- a/packages/wigeonarch-core/src/wigeonarch_core/service_choice.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/service_choice.py
@@ -23,13 +23,13 @@
 import msgspec
 
 # What a way to another availability zone is worth, in requests under way per slot.
-ZONE_COST: Final = 0.35
+CROSS_ZONE_COST: Final = 0.35
 # A failing share of 1 is as bad as so many requests waiting per slot.
 FAILURE_COST: Final = 4.0
 # Requests per slot up to which an endpoint of the own zone takes all that come here.
-CALM: Final = 0.85
+LOCAL_LOAD_LIMIT: Final = 0.85
 # Requests that arrive in the lag, in times those under way, where their time is not known.
-ARRIVALS: Final = 1.0
+DEFAULT_ARRIVALS: Final = 1.0
 
 
 class ServiceState(msgspec.Struct, frozen=True):
@@ -50,10 +50,10 @@
     failing: float
 
 
-def choose_plain(
+def choose_endpoint(
     states: Iterable[ServiceState],
     lag: float = 0.0,
-    usual: float | None = None,
+    service_time: float | None = None,
     draw: float | None = None,
 ) -> str | None:
     """Returns the id of an endpoint, or None when there is none.
@@ -64,15 +64,15 @@
         usual: Seconds that a request takes; None if unknown.
         draw: Uniform in [0, 1); drawn if not given.
     """
-    found = sorted(states, key=lambda state: (_level(state), state.endpoint))
+    found = sorted(states, key=lambda state: (_load_level(state), state.endpoint))
     if not found:
         return None
     near = next((state for state in found if state.same_zone), None)
-    if near is not None and _level(near) + 1 / max(1, near.slots) <= CALM:
+    if near is not None and _load_level(near) + 1 / max(1, near.slots) <= LOCAL_LOAD_LIMIT:
         return near.endpoint
     underway = sum(state.running for state in found)
-    arrivals = underway * (lag / usual if usual else ARRIVALS if lag else 0.0)
-    parts = _levelling(found, max(1.0, arrivals))
+    arrivals = underway * (lag / service_time if service_time else DEFAULT_ARRIVALS if lag else 0.0)
+    parts = _levelling_arrivals(found, max(1.0, arrivals))
     mark = (random.random() if draw is None else draw) * sum(parts)
     for state, part in zip(found, parts, strict=True):
         mark -= part
@@ -81,16 +81,16 @@
     return found[0].endpoint
 
 
-def _level(state: ServiceState) -> float:
+def _load_level(state: ServiceState) -> float:
     """Returns how busy an endpoint counts, in requests per slot."""
-    zone = 0.0 if state.same_zone else ZONE_COST
+    zone = 0.0 if state.same_zone else CROSS_ZONE_COST
     return state.running / max(1, state.slots) + zone + FAILURE_COST * state.failing
 
 
-def _levelling(states: Sequence[ServiceState], arrivals: float) -> list[float]:
+def _levelling_arrivals(states: Sequence[ServiceState], arrivals: float) -> list[float]:
     """Returns the part of the arrivals for each endpoint that levels them out, least busy first."""
     slots = [max(1, state.slots) for state in states]
-    levels = [_level(state) for state in states]
+    levels = [_load_level(state) for state in states]
     filled = total = 0.0
     level = levels[0]
     for place, (size, own) in enumerate(zip(slots, levels, strict=True)):
--- a/packages/wigeonarch-core/src/wigeonarch_core/service_load.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/service_load.py
@@ -17,8 +17,8 @@
 # Part of the objective that an endpoint's queue may take: the rest is for work that takes longer
 # than usual, and for requests of others that are not heard of yet.
 QUEUE_SHARE: Final = 0.5
-LEARNED_WEIGHT: Final = 0.1  # Weight of one answer: about the last ten count.
-LEARNED_LEAST: Final = 5  # Answers before which nothing is refused.
+ANSWER_WEIGHT: Final = 0.1  # Weight of one answer: about the last ten count.
+MIN_ANSWERS: Final = 5  # Answers before which nothing is refused.
 
 
 class ServiceTimes:
@@ -30,7 +30,7 @@
         self._times: dict[str, float] = {}
         self._answers: dict[str, int] = {}
 
-    def answered(self, service: str, took: float, running: int, slots: int) -> None:
+    def record_answer(self, service: str, took: float, running: int, slots: int) -> None:
         """Notes an answer.
 
         Args:
@@ -42,17 +42,17 @@
         if running > slots:
             return
         before = self._times.get(service, took)
-        self._times[service] = before + LEARNED_WEIGHT * (took - before)
+        self._times[service] = before + ANSWER_WEIGHT * (took - before)
         self._answers[service] = self._answers.get(service, 0) + 1
 
-    def usual(self, service: str) -> float | None:
+    def estimate(self, service: str) -> float | None:
         """Returns the seconds that a request takes; None while that is not known."""
-        if self._answers.get(service, 0) < LEARNED_LEAST:
+        if self._answers.get(service, 0) < MIN_ANSWERS:
             return None
         return self._times[service]
 
 
-def sent_share(running: int, slots: int, usual: float | None, objective: float) -> float:
+def admitted_share(running: int, slots: int, service_time: float | None, objective: float) -> float:
     """Returns the part of the requests that should be sent to an endpoint, from 0 to 1.
 
     Args:
@@ -61,7 +61,7 @@
         usual: Seconds that a request takes without waiting; None if unknown.
         objective: Time to the answer that counts as prompt, in seconds.
     """
-    if usual is None or usual <= 0.0 or running < slots:
+    if service_time is None or service_time <= 0.0 or running < slots:
         return 1.0
-    most = max(slots, slots * QUEUE_SHARE * objective / usual)
+    most = max(slots, slots * QUEUE_SHARE * objective / service_time)
     return min(1.0, most / (running + 1))
--- a/packages/wigeonarch-core/src/wigeonarch_core/serving_right.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/serving_right.py
@@ -38,33 +38,33 @@
         ever: Whether there has been a period.
     """
 
-    __slots__ = ("_end", "_length", "ever", "lapsed_at", "since")
+    __slots__ = ("_end", "_length", "ever_valid", "lapsed_at", "since")
 
     def __init__(self, term: float, margin: float, now: float) -> None:
         self._length = term - margin
         self._end = now
         self.since = now
         self.lapsed_at = now
-        self.ever = False
+        self.ever_valid = False
 
-    def renewed(self, sent_at: float, now: float) -> None:
+    def record_renewal(self, sent_at: float, now: float) -> None:
         """Notes a renewal that was sent at `sent_at` and confirmed now."""
-        if not self.ever or now >= self._end:
+        if not self.ever_valid or now >= self._end:
             self.lapsed_at = self._end
             self.since = now
-        self.ever = True
+        self.ever_valid = True
         self._end = max(self._end, sent_at + self._length)
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Tells whether all others count this instance."""
-        return self.ever and now < self._end
+        return self.ever_valid and now < self._end
 
-    def lapsed(self, now: float) -> float:
+    def last_ended_at(self, now: float) -> float:
         """Returns when the last period ended."""
-        return self.lapsed_at if self.holds(now) else self._end
+        return self.lapsed_at if self.is_valid(now) else self._end
 
 
-class Reach:
+class PlatformReachability:
     """Whether the platform has been answering without a gap."""
 
     __slots__ = ("_bound", "_last", "_settle", "_since")
@@ -81,19 +81,19 @@
         self._last: float | None = None
         self._since = 0.0
 
-    def answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Notes any answer of the platform, a line of a watch included."""
-        if not self.reaches(now):
+        if not self.is_reachable(now):
             self._since = now
         self._last = now
 
-    def reaches(self, now: float) -> bool:
+    def is_reachable(self, now: float) -> bool:
         """Tells whether the platform is within reach."""
         return self._last is not None and now <= self._last + self._bound
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Tells whether it has been for so long that no peer of the zone goes on without it."""
-        return self.reaches(now) and now >= self._since + self._settle
+        return self.is_reachable(now) and now >= self._since + self._settle
 
 
 class ZonePeer(msgspec.Struct, frozen=True):
@@ -109,7 +109,7 @@
     """
 
     name: str
-    heard: float
+    as_of: float
     leased: bool
     reaches: bool
     applied: int
@@ -129,19 +129,19 @@
         self._peers: dict[str, ZonePeer] = {}
         self.newest = 0
 
-    def heard(self, peer: ZonePeer) -> None:
+    def record(self, peer: ZonePeer) -> None:
         """Notes what a peer said; older words than those known count for nothing but the number."""
         known = self._peers.get(peer.name)
-        if known is None or peer.heard >= known.heard:
+        if known is None or peer.as_of >= known.as_of:
             self._peers[peer.name] = peer
         self.newest = max(self.newest, peer.applied)
 
-    def recent(self, now: float) -> tuple[ZonePeer, ...]:
+    def recent_peers(self, now: float) -> tuple[ZonePeer, ...]:
         """Returns the peers heard within the timeout."""
-        return tuple(p for p in self._peers.values() if now - p.heard <= self._timeout)
+        return tuple(p for p in self._peers.values() if now - p.as_of <= self._timeout)
 
 
-class Situation(msgspec.Struct, frozen=True):
+class ServingState(msgspec.Struct, frozen=True):
     """All that the right to serve depends on.
 
     Attributes:
@@ -158,35 +158,35 @@
         heard: Those heard of late.
     """
 
-    informed: bool
+    has_configuration: bool
     leased: bool
     ever_leased: bool
     leased_since: float
     lapsed_at: float
-    caught_up: float | None
-    tried: float | None
+    caught_up_at: float | None
+    last_attempt: float | None
     applied: int
     newest: int
-    others: bool
-    heard: tuple[ZonePeer, ...]
+    others_known: bool
+    recent_peers: tuple[ZonePeer, ...]
 
 
-def refusal(at: Situation) -> Reason | None:
+def refusal_reason(at: ServingState) -> Reason | None:
     """Returns why an instance must not serve; None when it may."""
-    if not at.informed:
+    if not at.has_configuration:
         return Reason.NO_CONFIGURATION
     if at.leased:
-        is_current = at.caught_up is not None and at.caught_up >= at.leased_since
+        is_current = at.caught_up_at is not None and at.caught_up_at >= at.leased_since
         return None if is_current else Reason.NOT_CAUGHT_UP
     return _refusal_without_lease(at)
 
 
-def _refusal_without_lease(at: Situation) -> Reason | None:
-    if at.tried is None or at.tried < at.lapsed_at or at.newest > at.applied:
+def _refusal_without_lease(at: ServingState) -> Reason | None:
+    if at.last_attempt is None or at.last_attempt < at.lapsed_at or at.newest > at.applied:
         return Reason.NOT_CAUGHT_UP
     # One that never had a lease is counted by nobody; it serves only as part of a zone that is.
-    if not at.heard and (at.others or not at.ever_leased):
+    if not at.recent_peers and (at.others_known or not at.ever_leased):
         return Reason.CUT_OFF
-    if any(peer.leased and peer.reaches for peer in at.heard):
+    if any(peer.leased and peer.reaches for peer in at.recent_peers):
         return Reason.NOT_LEASED
     return None
--- a/packages/wigeonarch-core/src/wigeonarch_core/settings.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/settings.py
@@ -46,7 +46,7 @@
     most: float = math.inf
     above: bool = False
 
-    def holds(self, value: float) -> bool:
+    def contains(self, value: float) -> bool:
         """Tells whether a number is in the range; what is not finite never is."""
         low = value > self.least if self.above else value >= self.least
         return low and value <= self.most and math.isfinite(value)
@@ -61,7 +61,7 @@
     """One rule about settings that go together, told at the path of the one to change."""
 
     path: str
-    holds: Callable[[Options], bool]
+    predicate: Callable[[Options], bool]
     message: str
 
 
@@ -214,10 +214,10 @@
         return BadSettings("$", str(exc))
     for path, value in numbers(opts):
         allowed = RANGES.get(path, POSITIVE)
-        if not allowed.holds(value):
+        if not allowed.contains(value):
             return BadSettings(path, f"must be {allowed}, not {value:g}")
     for check in CHECKS:
-        if not check.holds(opts):
+        if not check.predicate(opts):
             return BadSettings(check.path, check.message)
     return opts
 
--- a/packages/wigeonarch-core/src/wigeonarch_core/slots.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/slots.py
@@ -58,7 +58,7 @@
         """Returns the slot of an adapter version, if it has one."""
         return self._slots.get(target)
 
-    def ready(self, target: AdapterVersion) -> bool:
+    def is_ready(self, target: AdapterVersion) -> bool:
         """Tells whether requests can use an adapter version now."""
         slot = self._slots.get(target)
         return slot is not None and slot.state is SlotState.LOADED
@@ -75,12 +75,12 @@
         """Tells whether a load needs no eviction."""
         return len(self._slots) < self.capacity
 
-    def idle_by_report(self, target: AdapterVersion) -> bool:
+    def is_idle_by_report(self, target: AdapterVersion) -> bool:
         """Tells whether the last report shows no request using an adapter version."""
         slot = self._slots.get(target)
         return slot is None or slot.running == 0
 
-    def apply(self, rep: EngineReport, service: str, sampled: float) -> bool:
+    def apply_report(self, report: EngineReport, service: str, sampled: float) -> bool:
         """Merges a report.
 
         Args:
@@ -91,18 +91,18 @@
         Returns:
             Whether the engine has restarted since the last report.
         """
-        restarted = self.incarnation not in ("", rep.incarnation)
+        restarted = self.incarnation not in ("", report.incarnation)
         if restarted:
             self._slots.clear()
             self._departed.clear()
-        self.incarnation = rep.incarnation
-        self.capacity = rep.slots
-        listed = self._merge_listed(rep, service, sampled)
+        self.incarnation = report.incarnation
+        self.capacity = report.slots
+        listed = self._merge_listed(report, service, sampled)
         self._drop_unlisted(listed, sampled)
         self._departed = {t: at for t, at in self._departed.items() if at >= sampled}
         return restarted
 
-    def begin(self, target: AdapterVersion, victim: AdapterVersion | None, now: float) -> None:
+    def begin_load(self, target: AdapterVersion, victim: AdapterVersion | None, now: float) -> None:
         """Notes that a load, and perhaps an eviction before it, is being ordered."""
         if victim is not None:
             self._slots[victim] = Slot(SlotState.EVICTING, now)
--- a/packages/wigeonarch-core/src/wigeonarch_core/snapshots.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/snapshots.py
@@ -23,10 +23,10 @@
 
 HEAD: Final = "head"
 # Changes between two snapshots: few enough to read quickly at a start.
-EVERY: Final = 1000
+CHANGES_PER_SNAPSHOT: Final = 1000
 PART_BYTES: Final = 600_000  # Base64 makes a third more of it.
-SLICE: Final = 1000  # Entries that are encoded at a time.
-LEVEL: Final = 1
+ENTRIES_PER_PIECE: Final = 1000  # Entries that are encoded at a time.
+COMPRESSION_LEVEL: Final = 1
 
 
 class SnapshotRef(msgspec.Struct, frozen=True):
@@ -74,7 +74,7 @@
 _entries: Final = msgspec.msgpack.Decoder(list[Stored])
 
 
-def newest(head: SnapshotHead | None) -> int:
+def newest_number(head: SnapshotHead | None) -> int:
     """Returns the number of the newest snapshot; 0 without one."""
     return head.latest.number if head and head.latest else 0
 
@@ -86,39 +86,39 @@
 
 def is_due(head: SnapshotHead | None, applied: int, every: int) -> bool:
     """Tells whether a snapshot should be written."""
-    return applied >= newest(head) + every
+    return applied >= newest_number(head) + every
 
 
-def announced(head: SnapshotHead | None, number: int, writer: str) -> SnapshotHead:
+def announce(head: SnapshotHead | None, number: int, writer: str) -> SnapshotHead:
     """Returns the head that announces a snapshot."""
     base = head or SnapshotHead()
     return msgspec.structs.replace(base, pending=SnapshotRef(number, writer))
 
 
-def finished(head: SnapshotHead, parts: int) -> SnapshotHead:
+def finish(head: SnapshotHead, parts: int) -> SnapshotHead:
     """Returns the head once all parts of the pending snapshot are written."""
     assert head.pending is not None, "a snapshot is announced before it is written"
     latest = msgspec.structs.replace(head.pending, parts=parts)
     return SnapshotHead(latest=latest, previous=head.latest)
 
 
-def kept_from(head: SnapshotHead) -> int:
+def first_kept_change(head: SnapshotHead) -> int:
     """Returns the first element of the log that must be kept."""
     return head.previous.number if head.previous else 0
 
 
-def encoded(snapshot: Snapshot) -> Iterator[bytes]:
+def encode(snapshot: Snapshot) -> Iterator[bytes]:
     """Yields pieces of the compressed form; each takes a moment, so that others can run between.
 
     The form is a stream of MessagePack documents, each after its length: a preamble, then lists
     of entries.
     """
-    stream = zlib.compressobj(LEVEL)
+    stream = zlib.compressobj(COMPRESSION_LEVEL)
     preamble = _Preamble(snapshot.applied, snapshot.last, snapshot.results)
     yield stream.compress(_framed(_encoder.encode(preamble)))
     entries = snapshot.entries
-    for first in range(0, len(entries), SLICE):
-        yield stream.compress(_framed(_encoder.encode(entries[first : first + SLICE])))
+    for first in range(0, len(entries), ENTRIES_PER_PIECE):
+        yield stream.compress(_framed(_encoder.encode(entries[first : first + ENTRIES_PER_PIECE])))
     yield stream.flush()
 
 
@@ -137,7 +137,7 @@
     return base64.b64decode(part.data)
 
 
-def decoded(data: bytes) -> Snapshot | None:
+def decode(data: bytes) -> Snapshot | None:
     """Returns the snapshot in a whole compressed form; None when it is damaged."""
     try:
         frames = list(_unframed(zlib.decompress(data)))
--- a/packages/wigeonarch-core/src/wigeonarch_core/store_contact.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/store_contact.py
@@ -53,8 +53,8 @@
     """
 
     lapse: float
-    comes_back: float
-    unsure: float
+    return_time: float
+    reaction_time: float
 
 
 class StoreContact:
@@ -72,7 +72,7 @@
         self._tried = NEVER  # Start of the last call that failed.
         self._older = NEVER  # Time at which the store was seen to have come back older.
 
-    def answered(self, at: float) -> None:
+    def record_answer(self, at: float) -> None:
         """Notes an answer of the store, as of a time."""
         if at <= self._until:
             return
@@ -84,11 +84,11 @@
             self._since = at
         self._until = at
 
-    def failed(self, began: float) -> None:
+    def record_failure(self, began: float) -> None:
         """Notes a call without an answer that began at a time."""
         self._tried = max(self._tried, began)
 
-    def came_back_older(self, at: float) -> None:
+    def record_older_copy(self, at: float) -> None:
         """Notes that the store came back from an older copy."""
         self._older = at
 
@@ -102,11 +102,11 @@
         Args:
             witnesses: Contacts of those who would have shared an outage of the endpoint.
         """
-        written_again = self._older + self._times.comes_back
+        written_again = self._older + self._times.return_time
         if self._before == NEVER or any(map(self._spans_outage, witnesses)):
             return written_again
         times = self._times
-        lapsed = min(self._since + times.comes_back, self._reached + times.unsure)
+        lapsed = min(self._since + times.return_time, self._reached + times.reaction_time)
         return max(lapsed, written_again)
 
     def _spans_outage(self, contact: Contact) -> bool:
--- a/packages/wigeonarch-core/src/wigeonarch_core/quarantine.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/takeover_quarantine.py
@@ -27,7 +27,7 @@
 from wigeonarch_core.refs import AdapterVersion
 
 
-class Stage(enum.StrEnum):
+class QuarantineStage(enum.StrEnum):
     """How far a quarantine has come, as operators see it."""
 
     SETTLING = "settling"
@@ -48,7 +48,7 @@
     longest: float
 
 
-class Quarantine:
+class TakeoverQuarantine:
     """The quarantine of one engine at its new owner."""
 
     __slots__ = ("_began", "_bounds", "_idle", "_undeclared")
@@ -66,7 +66,7 @@
         self._undeclared = set(undeclared)
         self._idle: set[AdapterVersion] = set()
 
-    def declared(self, asker: str) -> None:
+    def record_declaration(self, asker: str) -> None:
         """Notes that an instance has declared its pins, or can't be heard any more."""
         self._undeclared.discard(asker)
 
@@ -74,7 +74,7 @@
         """Returns the instances that have not declared their pins."""
         return sorted(self._undeclared)
 
-    def report(self, rep: EngineReport, service: str, sampled: float) -> None:
+    def record_report(self, rep: EngineReport, service: str, sampled: float) -> None:
         """Notes which copies a report shows idle; what the engine itself queues may use any."""
         if sampled < self._began + self._bounds.settle or rep.waiting:
             return
@@ -87,13 +87,15 @@
     def may_evict(self, target: AdapterVersion, now: float) -> bool:
         """Tells whether no request that the last owner granted can use a copy."""
         stage = self.stage(now)
-        return stage is Stage.OVER or (stage is Stage.IDLE_ONLY and target in self._idle)
+        return stage is QuarantineStage.OVER or (
+            stage is QuarantineStage.IDLE_ONLY and target in self._idle
+        )
 
-    def stage(self, now: float) -> Stage:
+    def stage(self, now: float) -> QuarantineStage:
         """Returns how far it has come."""
         passed = now - self._began
         if passed >= self._bounds.longest:
-            return Stage.OVER
+            return QuarantineStage.OVER
         if passed < self._bounds.settle:
-            return Stage.SETTLING
-        return Stage.DECLARING if self._undeclared else Stage.IDLE_ONLY
+            return QuarantineStage.SETTLING
+        return QuarantineStage.DECLARING if self._undeclared else QuarantineStage.IDLE_ONLY
--- a/packages/wigeonarch-core/src/wigeonarch_core/teams.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/teams.py
@@ -94,7 +94,7 @@
         if owner is not team:
             raise ValueError(f"teams {owner.name} and {team.name} hold the same key")
 
-    def holder(self, key: str) -> Team | None:
+    def team_by_key(self, key: str) -> Team | None:
         """Returns the team that holds a key; None for a key that nobody holds."""
         return self._by_digest.get(_digest(key))
 
@@ -127,7 +127,7 @@
     """
     if teams is None:
         return None
-    found = teams.holder(key) if key is not None else None
+    found = teams.team_by_key(key) if key is not None else None
     if found is not None or public:
         return found
     return KeyProblem.MISSING if key is None else KeyProblem.UNKNOWN
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/attempts.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/attempts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from wigeonarch_core.lifecycle import Event, Phase, may_return
+from wigeonarch_core.lifecycle import Event, Phase, may_retry_same_endpoint
 from wigeonarch_core.outcomes import Outcome, Reason
 
 # Seconds after which a request that found no endpoint, or lost it, may find another.
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mishap:
+class FailedAttempt:
     """What ended an attempt without an answer."""
 
     phase: Phase
@@ -34,12 +34,12 @@
         told: What the caller would be told if the attempts so far were all.
     """
 
-    tried: set[str] = field(default_factory=set)
-    refused: set[str] = field(default_factory=set)
+    avoided: set[str] = field(default_factory=set)
+    excluded: set[str] = field(default_factory=set)
     retries: int = 0
-    shown: bool = False
-    told: Outcome | None = None
+    streamed: bool = False
+    outcome: Outcome | None = None
 
-    def note(self, endpoint: str, mishap: Mishap) -> None:
+    def record_failure(self, endpoint: str, mishap: FailedAttempt) -> None:
         """Notes an attempt that an endpoint, or its owner, did not answer."""
-        (self.tried if may_return(mishap.reason) else self.refused).add(endpoint)
+        (self.avoided if may_retry_same_endpoint(mishap.reason) else self.excluded).add(endpoint)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/cli.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/cli.py
@@ -19,8 +19,8 @@
 
 EXIT_OK: Final = 0
 EXIT_SETTINGS: Final = 2
-SERVE: Final = "serve until SIGTERM or SIGINT, then finish all requests in progress and exit 0"
-CHECK: Final = "check a settings file; exit 0 if it can be used, 2 if not"
+SERVE_HELP: Final = "serve until SIGTERM or SIGINT, then finish all requests in progress and exit 0"
+CHECK_HELP: Final = "check a settings file; exit 0 if it can be used, 2 if not"
 EPILOG: Final = """exit codes:
   0  drained and stopped, or the settings can be used
   1  a broken invariant, or a socket that cannot be opened; the log says which
@@ -29,8 +29,8 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Runs the command line; returns the exit code."""
-    args = _parser().parse_args(argv)
-    opts = _read(args.settings)
+    args = _make_parser().parse_args(argv)
+    opts = _read_settings(args.settings)
     if isinstance(opts, BadSettings):
         print(f"{args.settings}: {opts.path}: {opts.message}", file=sys.stderr)
         return EXIT_SETTINGS
@@ -52,7 +52,7 @@
     await node.serve()
 
 
-def _read(path: Path) -> Options | BadSettings:
+def _read_settings(path: Path) -> Options | BadSettings:
     try:
         text = path.read_bytes()
     except OSError as exc:
@@ -60,7 +60,7 @@
     return decode_options(text)
 
 
-def _parser() -> argparse.ArgumentParser:
+def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="wigeonarch",
         description="An entry instance of the wigeonarch serving layer.",
@@ -69,9 +69,9 @@
     )
     parser.add_argument("--version", action="version", version=version("wigeonarch-entry"))
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    serve = commands.add_parser("serve", help=SERVE, description=SERVE)
+    serve = commands.add_parser("serve", help=SERVE_HELP, description=SERVE_HELP)
     serve.add_argument("--settings", type=Path, required=True, metavar="FILE")
-    check = commands.add_parser("check-settings", help=CHECK, description=CHECK)
+    check = commands.add_parser("check-settings", help=CHECK_HELP, description=CHECK_HELP)
     check.add_argument("settings", type=Path, metavar="FILE")
     return parser
 
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/completions.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/completions.py
@@ -16,7 +16,7 @@
 from wigeonarch_core.outcomes import Answered, NotRun, Reason
 
 from wigeonarch_entry.requests import Generate, Request
-from wigeonarch_entry.texts import ONE_CHOICE, ONE_PROMPT, SOME_MESSAGES
+from wigeonarch_entry.texts import BAD_CHOICE_COUNT, BAD_PROMPT, NO_MESSAGES
 
 Body = TypeVar("Body")
 
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Form:
+class ResponseBuilder:
     """How one of the two calls shapes its documents.
 
     Attributes:
@@ -68,94 +68,94 @@
         opening: Makes the choice of the event that begins a stream; None for no such event.
     """
 
-    whole: str
-    piece: str
-    answer: Callable[[str], dict[str, Any]]
-    delta: Callable[[str], dict[str, Any]]
-    opening: dict[str, Any] | None
+    object_type: str
+    chunk_object_type: str
+    make_choice: Callable[[str], dict[str, Any]]
+    make_chunk_choice: Callable[[str], dict[str, Any]]
+    first_chunk_choice: dict[str, Any] | None
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class CompletionRequest:
     """What a caller asks for by one of the two calls."""
 
     model: str
     prompt: str
     max_tokens: int
     stream: bool
-    form: Form
+    response_builder: ResponseBuilder
 
 
-def text_ask(body: bytes) -> Ask | NotRun:
+def parse_completion(body: bytes) -> CompletionRequest | NotRun:
     """Decodes the body of `POST /v1/completions`."""
-    doc = _decoded(body, Completion)
+    doc = _decode(body, Completion)
     if isinstance(doc, NotRun):
         return doc
     prompts = [doc.prompt] if isinstance(doc.prompt, str) else doc.prompt
     if len(prompts) != 1:
-        return NotRun(Reason.MALFORMED, detail=ONE_PROMPT)
-    return _ask(doc, prompts[0], doc.max_tokens, TEXT)
+        return NotRun(Reason.MALFORMED, detail=BAD_PROMPT)
+    return _make_request(doc, prompts[0], doc.max_tokens, TEXT)
 
 
-def chat_ask(body: bytes) -> Ask | NotRun:
+def parse_chat_completion(body: bytes) -> CompletionRequest | NotRun:
     """Decodes the body of `POST /v1/chat/completions`; the prompt is one line a message."""
-    doc = _decoded(body, ChatCompletion)
+    doc = _decode(body, ChatCompletion)
     if isinstance(doc, NotRun):
         return doc
     if not doc.messages:
-        return NotRun(Reason.MALFORMED, detail=SOME_MESSAGES)
-    prompt = "\n".join(f"{each.role}: {_content(each)}" for each in doc.messages)
+        return NotRun(Reason.MALFORMED, detail=NO_MESSAGES)
+    prompt = "\n".join(f"{each.role}: {_message_text(each)}" for each in doc.messages)
     tokens = doc.max_tokens if doc.max_completion_tokens is None else doc.max_completion_tokens
-    return _ask(doc, prompt, tokens, CHAT)
+    return _make_request(doc, prompt, tokens, CHAT)
 
 
-def whole_doc(req: Request, form: Form, outcome: Answered) -> dict[str, Any]:
+def answer_doc(req: Request, form: ResponseBuilder, outcome: Answered) -> dict[str, Any]:
     """Returns the document of a whole answer."""
-    choice = form.answer(outcome.text)
+    choice = form.make_choice(outcome.text)
     # Engines do not tell how many tokens a prompt had; clients expect the keys all the same.
     usage = {
         "prompt_tokens": 0,
         "completion_tokens": outcome.tokens,
         "total_tokens": outcome.tokens,
     }
-    return _doc(req, form, form.whole, choice, outcome.finish) | {"usage": usage}
+    return _doc(req, form, form.object_type, choice, outcome.finish) | {"usage": usage}
 
 
-def opening_doc(req: Request, form: Form) -> dict[str, Any] | None:
+def first_chunk_doc(req: Request, form: ResponseBuilder) -> dict[str, Any] | None:
     """Returns the event that begins a stream, if the form has one."""
-    if form.opening is None:
+    if form.first_chunk_choice is None:
         return None
-    return _doc(req, form, form.piece, form.opening, None)
+    return _doc(req, form, form.chunk_object_type, form.first_chunk_choice, None)
 
 
-def piece_doc(req: Request, form: Form, text: str, finish: str | None) -> dict[str, Any]:
+def chunk_doc(req: Request, form: ResponseBuilder, text: str, finish: str | None) -> dict[str, Any]:
     """Returns one event of a stream; the last one of an answer names why it finished."""
-    return _doc(req, form, form.piece, form.delta(text), finish)
+    return _doc(req, form, form.chunk_object_type, form.make_chunk_choice(text), finish)
 
 
-def _decoded(body: bytes, form: type[Body]) -> Body | NotRun:
+def _decode(body: bytes, form: type[Body]) -> Body | NotRun:
     try:
         return msgspec.json.decode(body, type=form)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         return NotRun(Reason.MALFORMED, detail=str(exc))
 
 
-def _ask(
-    doc: Completion | ChatCompletion, prompt: str, tokens: int | None, form: Form
-) -> Ask | NotRun:
+def _make_request(
+    doc: Completion | ChatCompletion, prompt: str, tokens: int | None, form: ResponseBuilder
+) -> CompletionRequest | NotRun:
     if doc.n not in (None, 1):
-        return NotRun(Reason.MALFORMED, detail=ONE_CHOICE)
-    return Ask(doc.model, prompt, tokens or 0, bool(doc.stream), form)
+        return NotRun(Reason.MALFORMED, detail=BAD_CHOICE_COUNT)
+    return CompletionRequest(doc.model, prompt, tokens or 0, bool(doc.stream), form)
 
 
-def _content(message: ChatMessage) -> str:
+def _message_text(message: ChatMessage) -> str:
     if isinstance(message.content, list):
         return "".join(part.text for part in message.content)
     return message.content or ""
 
 
 def _doc(
-    req: Request, form: Form, kind: str, choice: dict[str, Any], finish: str | None
+    req: Request, form: ResponseBuilder, kind: str, choice: dict[str, Any], finish: str | None
 ) -> dict[str, Any]:
     assert isinstance(req.work, Generate), "only generation has this form"
     return {
@@ -180,17 +180,17 @@
     return {"delta": {"content": text} if text else {}}
 
 
-TEXT: Final = Form(
-    whole="text_completion",
-    piece="text_completion",
-    answer=_text_choice,
-    delta=_text_choice,
-    opening=None,
+TEXT: Final = ResponseBuilder(
+    object_type="text_completion",
+    chunk_object_type="text_completion",
+    make_choice=_text_choice,
+    make_chunk_choice=_text_choice,
+    first_chunk_choice=None,
 )
-CHAT: Final = Form(
-    whole="chat.completion",
-    piece="chat.completion.chunk",
-    answer=_chat_choice,
-    delta=_chat_delta,
-    opening={"delta": {"role": "assistant", "content": ""}},
+CHAT: Final = ResponseBuilder(
+    object_type="chat.completion",
+    chunk_object_type="chat.completion.chunk",
+    make_choice=_chat_choice,
+    make_chunk_choice=_chat_delta,
+    first_chunk_choice={"delta": {"role": "assistant", "content": ""}},
 )
