--- a/packages/wigeonarch-entry/src/wigeonarch_entry/engines.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/engines.py
@@ -18,19 +18,19 @@
 import aiohttp
 import msgspec
 from wigeonarch_core.engine_report import EngineReport
-from wigeonarch_core.inorder import InOrder
 from wigeonarch_core.lifecycle import Event
 from wigeonarch_core.outcomes import Reason
 from wigeonarch_core.refs import AdapterVersion
+from wigeonarch_core.reorder_buffer import ReorderBuffer
 
-from wigeonarch_entry.sending import CheckedConnector, NoLongerUsableError, sent_only_if
-from wigeonarch_entry.streamlines import Lines
+from wigeonarch_entry.sending import CheckedConnector, NoLongerUsableError, send_only_if
+from wigeonarch_entry.streamlines import StreamLines
 
 _OK: Final = 200
-_LINE_BOUND: Final = 1 << 20
+_MAX_LINE_BYTES: Final = 1 << 20
 
 # What an engine answers before it runs anything; all of them promise that it did not run.
-DECLINES: Final = {
+DECLINE_REASONS: Final = {
     "leaving": Reason.ENDPOINT_LEAVING,
     "overloaded": Reason.ENDPOINT_OVERLOADED,
     "not_loaded": Reason.NOT_LOADED,
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class StreamBroken:
     """The stream ended without its final chunk.
 
     Attributes:
@@ -94,33 +94,33 @@
     reason: str = ""
 
 
-_CONNECT_FAILED: Final = Broken(Event.CONNECT_FAILED, Reason.UNREACHABLE, False)
-_LOST: Final = Broken(Event.LOST, Reason.CONNECTION_LOST, True)
-_SILENT: Final = Broken(Event.SILENT, Reason.SILENT, True)
-_MISMATCH: Final = Broken(Event.MISMATCH, Reason.WRONG_ADAPTER, True)
+_CONNECT_FAILED: Final = StreamBroken(Event.CONNECT_FAILED, Reason.UNREACHABLE, False)
+_LOST: Final = StreamBroken(Event.LOST, Reason.CONNECTION_LOST, True)
+_SILENT: Final = StreamBroken(Event.SILENT, Reason.SILENT, True)
+_MISMATCH: Final = StreamBroken(Event.MISMATCH, Reason.WRONG_ADAPTER, True)
 
 
-class Engines:
+class EngineClient:
     """Calls to model engines."""
 
-    __slots__ = ("_connect", "_fresh", "_pooled")
+    __slots__ = ("_connect_timeout", "_pooled", "_unpooled")
 
     def __init__(self, connect_timeout: float, source: str = "") -> None:
         """Makes the client; `source` is the IP that connections come from, if it matters."""
-        self._connect = connect_timeout
+        self._connect_timeout = connect_timeout
         local = (source, 0) if source else None
         self._pooled = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=5.0, local_addr=local)
         )
-        self._fresh = aiohttp.ClientSession(
+        self._unpooled = aiohttp.ClientSession(
             connector=CheckedConnector(limit=0, force_close=True, local_addr=local),
-            read_bufsize=_LINE_BOUND,
+            read_bufsize=_MAX_LINE_BYTES,
         )
 
     async def close(self) -> None:
         """Closes all connections."""
         await self._pooled.close()
-        await self._fresh.close()
+        await self._unpooled.close()
 
     def generate(
         self,
@@ -129,7 +129,7 @@
         first: float,
         silence: float,
         usable: Callable[[], bool] = lambda: True,
-    ) -> AsyncIterator[Chunk | Broken]:
+    ) -> AsyncIterator[Chunk | StreamBroken]:
         """Starts a generation and yields its chunks from sequence number 0.
 
         Args:
@@ -153,7 +153,7 @@
 
     def resume(
         self, address: str, gen: Generation, seq: int, silence: float
-    ) -> AsyncIterator[Chunk | Broken]:
+    ) -> AsyncIterator[Chunk | StreamBroken]:
         """Reads a running or finished generation from sequence number `seq` on."""
         url = f"http://{address}/v1/generate/{gen.dispatch}?from={seq}"
         return self._read("GET", url, None, gen, seq, (silence, silence))
@@ -161,9 +161,9 @@
     async def cancel(self, address: str, dispatch: str) -> bool:
         """Cancels a generation; False when the engine could not be told."""
         url = f"http://{address}/v1/generate/{dispatch}"
-        timeout = aiohttp.ClientTimeout(total=self._connect * 2)
+        timeout = aiohttp.ClientTimeout(total=self._connect_timeout * 2)
         try:
-            async with self._fresh.delete(url, timeout=timeout) as resp:
+            async with self._unpooled.delete(url, timeout=timeout) as resp:
                 return resp.status == _OK
         except (aiohttp.ClientError, TimeoutError, OSError):
             return False
@@ -172,13 +172,13 @@
         self, address: str, fence: int, target: AdapterVersion, bound: float
     ) -> OrderResult:
         """Orders an engine to load an adapter version; returns once it is loaded or has failed."""
-        return await self._order(address, "load", fence, target, bound)
+        return await self._send_order(address, "load", fence, target, bound)
 
     async def evict(
         self, address: str, fence: int, target: AdapterVersion, bound: float
     ) -> OrderResult:
         """Orders an engine to evict an adapter version."""
-        return await self._order(address, "evict", fence, target, bound)
+        return await self._send_order(address, "evict", fence, target, bound)
 
     async def report(self, address: str, bound: float) -> EngineReport | None:
         """Reads an engine's report; None when it cannot be had."""
@@ -191,14 +191,14 @@
         except (aiohttp.ClientError, TimeoutError, OSError, msgspec.DecodeError):
             return None
 
-    async def _order(
+    async def _send_order(
         self, address: str, order: str, fence: int, target: AdapterVersion, bound: float
     ) -> OrderResult:
         doc = {"fence": fence, "adapter": target.adapter, "version": target.version}
-        timeout = aiohttp.ClientTimeout(total=bound, connect=self._connect)
+        timeout = aiohttp.ClientTimeout(total=bound, connect=self._connect_timeout)
         url = f"http://{address}/v1/adapters/{order}"
         try:
-            async with self._fresh.post(url, json=doc, timeout=timeout) as resp:
+            async with self._unpooled.post(url, json=doc, timeout=timeout) as resp:
                 if resp.status == _OK:
                     return OrderResult(True)
                 return OrderResult(False, _error_reason(await resp.read()))
@@ -214,19 +214,19 @@
         seq: int,
         waits: tuple[float, float],
         usable: Callable[[], bool] = lambda: True,
-    ) -> AsyncIterator[Chunk | Broken]:
+    ) -> AsyncIterator[Chunk | StreamBroken]:
         first, silence = waits
-        timeout = aiohttp.ClientTimeout(total=None, connect=self._connect)
+        timeout = aiohttp.ClientTimeout(total=None, connect=self._connect_timeout)
         sent = False
         try:
-            request = self._fresh.request(method, url, json=doc, timeout=timeout)
-            with sent_only_if(usable):
+            request = self._unpooled.request(method, url, json=doc, timeout=timeout)
+            with send_only_if(usable):
                 async with asyncio.timeout(first):
                     resp = await request
             sent = True
             async with resp:
                 if resp.status != _OK:
-                    yield _declined(_error_reason(await resp.read()))
+                    yield _decline(_error_reason(await resp.read()))
                     return
                 async for item in _chunks(resp, gen, seq, (first, silence)):
                     yield item
@@ -242,11 +242,11 @@
 
 async def _chunks(
     resp: aiohttp.ClientResponse, gen: Generation, seq: int, waits: tuple[float, float]
-) -> AsyncIterator[Chunk | Broken]:
+) -> AsyncIterator[Chunk | StreamBroken]:
     """Yields the chunks of one response in order from `seq` on, up to the final one."""
     wait, silence = waits
-    lines = Lines(resp.content)
-    order: InOrder[Chunk] = InOrder(seq)
+    lines = StreamLines(resp.content)
+    order: ReorderBuffer[Chunk] = ReorderBuffer(seq)
     while True:
         line = await lines.next(wait)
         wait = silence
@@ -259,7 +259,7 @@
         if (chunk.adapter, chunk.version) != (gen.target.adapter, gen.target.version):
             yield _MISMATCH
             return
-        ready = order.put(chunk.seq, chunk)
+        ready = order.add(chunk.seq, chunk)
         if ready is None:
             yield _LOST
             return
@@ -279,11 +279,11 @@
         return None
 
 
-def _declined(word: str) -> Broken:
-    reason = DECLINES.get(word)
+def _decline(word: str) -> StreamBroken:
+    reason = DECLINE_REASONS.get(word)
     if reason is None:
-        return Broken(Event.ERROR, Reason.ENDPOINT_ERROR, True)
-    return Broken(Event.DECLINED, reason, True)
+        return StreamBroken(Event.ERROR, Reason.ENDPOINT_ERROR, True)
+    return StreamBroken(Event.DECLINED, reason, True)
 
 
 def _error_reason(text: bytes) -> str:
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/enginestatus.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/enginestatus.py
@@ -15,15 +15,17 @@
 from wigeonarch_core.messages import EngineSummary
 from wigeonarch_schema import wigeonarch_pb2 as pb
 
-from wigeonarch_entry.engines import Engines
+from wigeonarch_entry.engines import EngineClient
 
-ASKED_AT_ONCE: Final = 32
+MAX_CONCURRENT_REPORTS: Final = 32
 LIVE: Final = "live"
 LEAVING: Final = "leaving"
 UNREACHABLE: Final = "unreachable"
 
 
-async def engine_statuses(fleet: Fleet, engines: Engines, bound: float) -> list[pb.EngineStatus]:
+async def engine_statuses(
+    fleet: Fleet, engines: EngineClient, bound: float
+) -> list[pb.EngineStatus]:
     """Returns the state of each model engine, by name.
 
     Args:
@@ -31,7 +33,7 @@
         engines: Client of the engines.
         bound: Longest wait for one engine's report, in seconds.
     """
-    places = asyncio.Semaphore(ASKED_AT_ONCE)
+    places = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
     known = {
         name: endpoint
         for name, endpoint in sorted(fleet.endpoints.items())
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/following.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/following.py
@@ -9,10 +9,10 @@
 
 from wigeonarch_runtime.logs import log
 
-from wigeonarch_entry.platform import Platform, Unavailable, WatchEvent
+from wigeonarch_entry.platform import PlatformClient, Unavailable, WatchEvent
 
-RETRY_LEAST: Final = 0.5
-RETRY_MOST: Final = 5.0
+MIN_RETRY_PAUSE: Final = 0.5
+MAX_RETRY_PAUSE: Final = 5.0
 
 
 class Follower:
@@ -22,11 +22,19 @@
         listed: Set once all objects have been seen.
     """
 
-    __slots__ = ("_gone", "_kind", "_names", "_platform", "_put", "_silence", "listed")
+    __slots__ = (
+        "_kind",
+        "_names",
+        "_on_deleted",
+        "_on_put",
+        "_platform",
+        "_watch_timeout",
+        "listed",
+    )
 
     def __init__(
         self,
-        platform: Platform,
+        platform: PlatformClient,
         kind: str,
         silence: float,
         put: Callable[[str, int, Any], None],
@@ -43,24 +51,24 @@
         """
         self._platform = platform
         self._kind = kind
-        self._silence = silence
-        self._put = put
-        self._gone = gone
+        self._watch_timeout = silence
+        self._on_put = put
+        self._on_deleted = gone
         self._names: set[str] = set()
         self.listed = asyncio.Event()
 
     async def run(self) -> None:
         """Follows until cancelled."""
-        pause = RETRY_LEAST
+        pause = MIN_RETRY_PAUSE
         while True:
             revision = await self._list()
             if revision is not None:
-                pause = RETRY_LEAST
+                pause = MIN_RETRY_PAUSE
                 self.listed.set()
                 await self._watch(revision)
             # Full jitter keeps many instances from coming back at the same moment.
             await asyncio.sleep(random.uniform(0, pause))
-            pause = min(pause * 2, RETRY_MOST)
+            pause = min(pause * 2, MAX_RETRY_PAUSE)
 
     async def _list(self) -> int | None:
         """Lists all objects; returns the revision of the first page, which watching starts from."""
@@ -73,28 +81,28 @@
             first = page.revision if first is None else first
             for item in page.items:
                 seen.add(item.name)
-                self._put(item.name, item.version, item.value)
+                self._on_put(item.name, item.version, item.value)
             if not page.more:
                 break
             after = page.items[-1].name
         for name in self._names - seen:
-            self._gone(name)
+            self._on_deleted(name)
         self._names = seen
         return first
 
     async def _watch(self, revision: int) -> None:
-        async for event in self._platform.watch(self._kind, revision, self._silence):
+        async for event in self._platform.watch(self._kind, revision, self._watch_timeout):
             if isinstance(event, Unavailable):
                 log("watch_broken", "WARNING", kind=self._kind, detail=event.detail)
                 return
-            self._take(event)
+            self._apply(event)
 
-    def _take(self, event: WatchEvent) -> None:
+    def _apply(self, event: WatchEvent) -> None:
         if not event.name:
             return
         if event.value is None:
             self._names.discard(event.name)
-            self._gone(event.name)
+            self._on_deleted(event.name)
             return
         self._names.add(event.name)
-        self._put(event.name, event.version, event.value)
+        self._on_put(event.name, event.version, event.value)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/httperrors.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/httperrors.py
@@ -10,13 +10,13 @@
 from wigeonarch_core.outcomes import Answered, Failed, NotRun, Outcome, Reason
 from wigeonarch_runtime.logs import log
 
-from wigeonarch_entry.statuses import OUTCOME_NAMES, RETRIABLE, status_of
-from wigeonarch_entry.texts import BROKEN, METHOD_UNKNOWN, NOT_RUN, PATH_UNKNOWN, tell
+from wigeonarch_entry.statuses import OUTCOME_NAMES, RETRY_AFTER_STATUSES, status_of
+from wigeonarch_entry.texts import INTERNAL_ERROR, NOT_RUN, UNKNOWN_METHOD, UNKNOWN_PATH, describe
 
 OUTCOME_HEADER: Final = "X-Outcome"
-RETRY_HEADER: Final = "Retry-After"
-RETRY_LEAST: Final = 1
-BEGUN: Final = web.RequestKey("begun", bool)  # Set once a streamed answer has begun.
+RETRY_AFTER_HEADER: Final = "Retry-After"
+MIN_RETRY_AFTER: Final = 1
+STREAM_STARTED: Final = web.RequestKey("begun", bool)  # Set once a streamed answer has begun.
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -28,7 +28,7 @@
     the published ones.
     """
     assert not isinstance(outcome, Answered), "an answer is no error"
-    return _doc(OUTCOME_NAMES[type(outcome)], outcome.reason, tell(outcome))
+    return _make_doc(OUTCOME_NAMES[type(outcome)], outcome.reason, describe(outcome))
 
 
 def error_response(outcome: Outcome, headers: dict[str, str]) -> web.Response:
@@ -39,39 +39,41 @@
         return web.Response(
             status=status, text=outcome.body, content_type="application/json", headers=headers
         )
-    if isinstance(outcome, NotRun) and status in RETRIABLE:
-        headers[RETRY_HEADER] = str(max(RETRY_LEAST, math.ceil(outcome.retry_after)))
+    if isinstance(outcome, NotRun) and status in RETRY_AFTER_STATUSES:
+        headers[RETRY_AFTER_HEADER] = str(max(MIN_RETRY_AFTER, math.ceil(outcome.retry_after)))
     return web.json_response(error_doc(outcome), status=status, headers=headers)
 
 
 @web.middleware
-async def tell_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
+async def error_middleware(request: web.Request, handler: Handler) -> web.StreamResponse:
     """Gives the errors of the HTTP library, and broken invariants, the form of all others."""
     try:
         return await handler(request)
     except web.HTTPNotFound:
-        return _plain_error(404, PATH_UNKNOWN)
+        return _library_error(404, UNKNOWN_PATH)
     except web.HTTPMethodNotAllowed as exc:
         allowed = ", ".join(sorted(exc.allowed_methods))
-        return _plain_error(405, METHOD_UNKNOWN, {"Allow": allowed})
+        return _library_error(405, UNKNOWN_METHOD, {"Allow": allowed})
     except ConnectionError:
         # The caller has gone; nobody reads what is returned.
         return web.Response(status=500)
     except Exception as exc:
         log("door_failed", level="ERROR", path=request.path, error=repr(exc))
-        if request.get(BEGUN) and request.transport is not None:
+        if request.get(STREAM_STARTED) and request.transport is not None:
             # A second answer within the stream would be read as a part of the first.
             request.transport.abort()
-        doc = _doc("unknown", Reason.ENDPOINT_ERROR, BROKEN)
+        doc = _make_doc("unknown", Reason.ENDPOINT_ERROR, INTERNAL_ERROR)
         return web.json_response(doc, status=500, headers={OUTCOME_HEADER: "unknown"})
 
 
-def _plain_error(status: int, message: str, headers: dict[str, str] | None = None) -> web.Response:
-    doc = _doc("not_run", Reason.MALFORMED, f"{message}; {NOT_RUN}")
+def _library_error(
+    status: int, message: str, headers: dict[str, str] | None = None
+) -> web.Response:
+    doc = _make_doc("not_run", Reason.MALFORMED, f"{message}; {NOT_RUN}")
     headers = (headers or {}) | {OUTCOME_HEADER: "not_run"}
     return web.json_response(doc, status=status, headers=headers)
 
 
-def _doc(outcome: str, reason: Reason, message: str) -> dict[str, Any]:
+def _make_doc(outcome: str, reason: Reason, message: str) -> dict[str, Any]:
     openai = {"message": message, "type": outcome, "param": None, "code": str(reason)}
     return {"error": openai | {"reason": str(reason), "outcome": outcome}}
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/httpdoor.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/httpserver.py
@@ -22,55 +22,63 @@
 from wigeonarch_core.outcomes import Answered, NotRun, Outcome, Reason
 
 from wigeonarch_entry.completions import (
-    Ask,
-    Form,
-    chat_ask,
-    opening_doc,
-    piece_doc,
-    text_ask,
-    whole_doc,
+    CompletionRequest,
+    ResponseBuilder,
+    answer_doc,
+    chunk_doc,
+    first_chunk_doc,
+    parse_chat_completion,
+    parse_completion,
 )
 from wigeonarch_entry.dispatch import Dispatcher
 from wigeonarch_entry.httperrors import (
-    BEGUN,
     OUTCOME_HEADER,
+    STREAM_STARTED,
     error_doc,
+    error_middleware,
     error_response,
-    tell_errors,
 )
-from wigeonarch_entry.httpterms import KEY_HEADER, terms_of
-from wigeonarch_entry.intake import take_call, take_generate
+from wigeonarch_entry.httpterms import KEY_HEADER, read_terms
+from wigeonarch_entry.intake import make_call_request, make_generate_request
 from wigeonarch_entry.metrics import Metrics
 from wigeonarch_entry.refusals import Refusals
 from wigeonarch_entry.requests import Request
-from wigeonarch_entry.texts import BAD_BODY, NOT_READING, REASON_TEXTS, SLOW_BODY, TOO_MANY_STREAMS
+from wigeonarch_entry.texts import (
+    BAD_BODY,
+    BODY_TIMED_OUT,
+    CALLER_NOT_READING,
+    REASON_TEXTS,
+    TOO_MANY_STREAMS,
+)
 
 REQUEST_HEADER: Final = "X-Request-Id"
-MODELS_LISTED: Final = 100_000
-REFUSAL_RETRY: Final = 1.0
-IDLE_CONNECTION: Final = 75.0
-LINGER: Final = 3.0  # For a refused body that still comes, so that its caller reads the refusal.
-BACKLOG: Final = 1024
-SEND_BUFFER: Final = 64 * 1024
-
-ANSWERED: Final = {OUTCOME_HEADER: "answered"}
+MAX_LISTED_MODELS: Final = 100_000
+REFUSAL_RETRY_AFTER: Final = 1.0
+KEEP_ALIVE_TIMEOUT: Final = 75.0
+LINGER_TIMEOUT: Final = (
+    3.0  # For a refused body that still comes, so that its caller reads the refusal.
+)
+LISTEN_BACKLOG: Final = 1024
+SEND_BUFFER_BYTES: Final = 64 * 1024
+
+ANSWERED_HEADERS: Final = {OUTCOME_HEADER: "answered"}
 SSE_HEADERS: Final = {"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
 SSE_END: Final = b"data: [DONE]\n\n"
 
 
-class HttpDoor:
+class HttpServer:
     """Handlers of the HTTP door."""
 
     __slots__ = (
         "_catalogue",
         "_dispatcher",
+        "_free_request_slots",
+        "_free_stream_slots",
         "_metrics",
         "_opts",
-        "_places",
-        "_refusal",
+        "_refusal_reason",
         "_refusals",
         "_runner",
-        "_streams",
     )
 
     def __init__(
@@ -88,25 +96,25 @@
         self._dispatcher = dispatcher
         self._metrics = metrics
         self._refusals = refusals
-        self._refusal = refusal
-        self._places = opts.limits.requests
-        self._streams = opts.limits.event_streams
+        self._refusal_reason = refusal
+        self._free_request_slots = opts.limits.requests
+        self._free_stream_slots = opts.limits.event_streams
         self._runner: web.AppRunner | None = None
 
-    async def open(self) -> None:
+    async def start(self) -> None:
         """Begins to listen."""
         limits = self._opts.limits
-        app = web.Application(client_max_size=limits.body_bytes, middlewares=[tell_errors])
+        app = web.Application(client_max_size=limits.body_bytes, middlewares=[error_middleware])
         app.add_routes(
             [
-                web.post("/v1/completions", self._completions),
-                web.post("/v1/chat/completions", self._chat),
-                web.post("/v1/services/{service}/{operation}", self._service),
-                web.get("/v1/models", self._models),
-                web.get("/v1/models/{service}/{adapter}", self._model),
-                web.get("/metrics", self._show_metrics),
-                web.get("/livez", self._live),
-                web.get("/readyz", self._ready),
+                web.post("/v1/completions", self._handle_completions),
+                web.post("/v1/chat/completions", self._handle_chat_completions),
+                web.post("/v1/services/{service}/{operation}", self._handle_service_call),
+                web.get("/v1/models", self._handle_models),
+                web.get("/v1/models/{service}/{adapter}", self._handle_model),
+                web.get("/metrics", self._handle_metrics),
+                web.get("/livez", self._handle_livez),
+                web.get("/readyz", self._handle_readyz),
             ]
         )
         self._runner = web.AppRunner(
@@ -114,166 +122,174 @@
             access_log=None,
             max_line_size=limits.header_bytes,
             max_field_size=limits.header_bytes,
-            keepalive_timeout=IDLE_CONNECTION,
-            lingering_time=LINGER,
+            keepalive_timeout=KEEP_ALIVE_TIMEOUT,
+            lingering_time=LINGER_TIMEOUT,
             # For answers that are still being sent when the door closes.
             shutdown_timeout=self._opts.timing.max_deadline,
             # A caller that vanishes cancels its handler, and so its request.
             handler_cancellation=True,
         )
         await self._runner.setup()
-        await web.SockSite(self._runner, _listening(self._opts.http)).start()
+        await web.SockSite(self._runner, _listen(self._opts.http)).start()
 
-    async def close(self) -> None:
+    async def stop(self) -> None:
         """Closes the door; requests in progress have ended by then."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     # Requests -------------------------------------------------------------------------------
 
-    async def _completions(self, http: web.Request) -> web.StreamResponse:
-        return await self._generate(http, text_ask)
+    async def _handle_completions(self, http: web.Request) -> web.StreamResponse:
+        return await self._handle_generate(http, parse_completion)
 
-    async def _chat(self, http: web.Request) -> web.StreamResponse:
-        return await self._generate(http, chat_ask)
+    async def _handle_chat_completions(self, http: web.Request) -> web.StreamResponse:
+        return await self._handle_generate(http, parse_chat_completion)
 
-    async def _generate(
-        self, http: web.Request, decode: Callable[[bytes], Ask | NotRun]
+    async def _handle_generate(
+        self, http: web.Request, decode: Callable[[bytes], CompletionRequest | NotRun]
     ) -> web.StreamResponse:
-        async with self._place() as refused:
-            body = refused or await self._read(http)
+        async with self._request_slot() as refused:
+            body = refused or await self._read_body(http)
             if isinstance(body, NotRun):
-                return self._refused(body)
+                return self._refuse(body)
             ask = decode(body)
             if isinstance(ask, NotRun):
-                return self._refused(ask)
-            req = self._take(http, ask)
+                return self._refuse(ask)
+            req = self._make_request(http, ask)
             if isinstance(req, NotRun):
-                return self._refused(req)
+                return self._refuse(req)
             if ask.stream:
-                return await self._stream(http, req, ask.form)
-            return await self._whole(req, ask.form)
+                return await self._respond_streamed(http, req, ask.response_builder)
+            return await self._respond_whole(req, ask.response_builder)
 
-    def _take(self, http: web.Request, ask: Ask) -> Request | NotRun:
-        terms = terms_of(http)
+    def _make_request(self, http: web.Request, ask: CompletionRequest) -> Request | NotRun:
+        terms = read_terms(http)
         if isinstance(terms, NotRun):
             return terms
-        return take_generate(
+        return make_generate_request(
             self._opts, self._catalogue, ask.model, ask.prompt, ask.max_tokens, terms
         )
 
-    async def _whole(self, req: Request, form: Form) -> web.StreamResponse:
+    async def _respond_whole(self, req: Request, form: ResponseBuilder) -> web.StreamResponse:
         outcome = await self._dispatcher.run(req)
         if not isinstance(outcome, Answered):
-            return _told(req, outcome)
-        return web.json_response(whole_doc(req, form, outcome), headers=_headers(req) | ANSWERED)
+            return _outcome_response(req, outcome)
+        return web.json_response(
+            answer_doc(req, form, outcome), headers=_headers(req) | ANSWERED_HEADERS
+        )
 
-    async def _stream(self, http: web.Request, req: Request, form: Form) -> web.StreamResponse:
+    async def _respond_streamed(
+        self, http: web.Request, req: Request, form: ResponseBuilder
+    ) -> web.StreamResponse:
         """Answers with server-sent events; the status is sent with the first one."""
-        if not self._streams:
-            return self._refused(NotRun(Reason.CONCURRENCY, REFUSAL_RETRY, TOO_MANY_STREAMS))
-        self._streams -= 1
-        events = _Events(http, _headers(req), self._opts.timing.write_timeout)
+        if not self._free_stream_slots:
+            return self._refuse(NotRun(Reason.CONCURRENCY, REFUSAL_RETRY_AFTER, TOO_MANY_STREAMS))
+        self._free_stream_slots -= 1
+        events = _EventStream(http, _headers(req), self._opts.timing.write_timeout)
         try:
-            outcome = await self._dispatcher.run(req, _shower(events, req, form))
-            if not events.begun and not isinstance(outcome, Answered):
-                return _told(req, outcome)
+            outcome = await self._dispatcher.run(req, _text_sender(events, req, form))
+            if not events.started and not isinstance(outcome, Answered):
+                return _outcome_response(req, outcome)
             return await _end_stream(events, req, form, outcome)
         finally:
-            self._streams += 1
+            self._free_stream_slots += 1
 
-    async def _service(self, http: web.Request) -> web.StreamResponse:
-        async with self._place() as refused:
-            body = refused or await self._read(http)
+    async def _handle_service_call(self, http: web.Request) -> web.StreamResponse:
+        async with self._request_slot() as refused:
+            body = refused or await self._read_body(http)
             if isinstance(body, NotRun):
-                return self._refused(body)
-            terms = terms_of(http)
+                return self._refuse(body)
+            terms = read_terms(http)
             if isinstance(terms, NotRun):
-                return self._refused(terms)
+                return self._refuse(terms)
             service, operation = http.match_info["service"], http.match_info["operation"]
-            req = take_call(self._opts, self._catalogue, service, operation, body or b"{}", terms)
+            req = make_call_request(
+                self._opts, self._catalogue, service, operation, body or b"{}", terms
+            )
             if isinstance(req, NotRun):
-                return self._refused(req)
+                return self._refuse(req)
             outcome = await self._dispatcher.run(req)
             if not isinstance(outcome, Answered):
-                return _told(req, outcome)
-            headers = _headers(req) | ANSWERED
+                return _outcome_response(req, outcome)
+            headers = _headers(req) | ANSWERED_HEADERS
             return web.Response(text=outcome.text, content_type="application/json", headers=headers)
 
     @asynccontextmanager
-    async def _place(self) -> AsyncIterator[NotRun | None]:
+    async def _request_slot(self) -> AsyncIterator[NotRun | None]:
         """Holds a place for one request; gives the refusal if it may not be taken now."""
-        blocked = self._refusal() or (None if self._places else Reason.CONCURRENCY)
+        blocked = self._refusal_reason() or (
+            None if self._free_request_slots else Reason.CONCURRENCY
+        )
         if blocked is not None:
-            yield NotRun(blocked, REFUSAL_RETRY)
+            yield NotRun(blocked, REFUSAL_RETRY_AFTER)
             return
-        self._places -= 1
+        self._free_request_slots -= 1
         try:
             yield None
         finally:
-            self._places += 1
+            self._free_request_slots += 1
 
-    async def _read(self, http: web.Request) -> bytes | NotRun:
+    async def _read_body(self, http: web.Request) -> bytes | NotRun:
         try:
             async with asyncio.timeout(self._opts.timing.body_timeout):
                 return await http.read()
         except web.HTTPRequestEntityTooLarge:
             return NotRun(Reason.TOO_LARGE)
         except TimeoutError:
-            return NotRun(Reason.DEADLINE, REFUSAL_RETRY, SLOW_BODY)
+            return NotRun(Reason.DEADLINE, REFUSAL_RETRY_AFTER, BODY_TIMED_OUT)
         except web.RequestPayloadError:
             return NotRun(Reason.MALFORMED, detail=BAD_BODY)
         except (asyncio.IncompleteReadError, ConnectionError):
             return NotRun(Reason.CANCELLED)
 
-    def _refused(self, outcome: NotRun) -> web.Response:
+    def _refuse(self, outcome: NotRun) -> web.Response:
         """Answers a request that never became one."""
-        request = self._refusals.note("http", outcome)
+        request = self._refusals.record("http", outcome)
         return error_response(outcome, {REQUEST_HEADER: request})
 
     # The rest -------------------------------------------------------------------------------
 
-    async def _models(self, _http: web.Request) -> web.Response:
-        stored = self._catalogue.list(EntryKind.ADAPTER, "", MODELS_LISTED)
+    async def _handle_models(self, _http: web.Request) -> web.Response:
+        stored = self._catalogue.list(EntryKind.ADAPTER, "", MAX_LISTED_MODELS)
         data = [_model_doc(item.entry) for item in stored if isinstance(item.entry, Adapter)]
         return web.json_response({"object": "list", "data": data})
 
-    async def _model(self, http: web.Request) -> web.Response:
+    async def _handle_model(self, http: web.Request) -> web.Response:
         name = f"{http.match_info['service']}/{http.match_info['adapter']}"
         stored = self._catalogue.get(EntryKey(EntryKind.ADAPTER, name))
         if stored is None or not isinstance(stored.entry, Adapter):
             return error_response(NotRun(Reason.NO_SUCH_ADAPTER), {})
         return web.json_response(_model_doc(stored.entry))
 
-    async def _show_metrics(self, _http: web.Request) -> web.Response:
+    async def _handle_metrics(self, _http: web.Request) -> web.Response:
         headers = {"Content-Type": CONTENT_TYPE_LATEST}
-        return web.Response(body=self._metrics.text(), headers=headers)
+        return web.Response(body=self._metrics.exposition(), headers=headers)
 
-    async def _live(self, _http: web.Request) -> web.Response:
+    async def _handle_livez(self, _http: web.Request) -> web.Response:
         return web.Response(text="ok\n")
 
-    async def _ready(self, _http: web.Request) -> web.Response:
-        blocked = self._refusal()
+    async def _handle_readyz(self, _http: web.Request) -> web.Response:
+        blocked = self._refusal_reason()
         if blocked is None:
             return web.Response(text="ready\n")
         return web.Response(status=503, text=f"{blocked}: {REASON_TEXTS[blocked]}\n")
 
 
-class _Events:
+class _EventStream:
     """A stream of server-sent events to one caller.
 
     Attributes:
         begun: Whether the status has been sent.
     """
 
-    __slots__ = ("_bound", "_http", "_resp", "begun")
+    __slots__ = ("_http", "_response", "_write_timeout", "started")
 
     def __init__(self, http: web.Request, headers: dict[str, str], bound: float) -> None:
         """Makes a stream; a caller that reads nothing for `bound` seconds counts as gone."""
         self._http = http
-        self._bound = bound
-        self._resp = web.StreamResponse(headers=SSE_HEADERS | headers)
-        self.begun = False
+        self._write_timeout = bound
+        self._response = web.StreamResponse(headers=SSE_HEADERS | headers)
+        self.started = False
 
     async def send(self, data: bytes) -> None:
         """Sends bytes of an event.
@@ -282,15 +298,15 @@
             ConnectionError: The caller is gone, or does not read.
         """
         try:
-            async with asyncio.timeout(self._bound):
-                if not self.begun:
-                    self.begun = self._http[BEGUN] = True
-                    await self._resp.prepare(self._http)
-                await self._resp.write(data)
+            async with asyncio.timeout(self._write_timeout):
+                if not self.started:
+                    self.started = self._http[STREAM_STARTED] = True
+                    await self._response.prepare(self._http)
+                await self._response.write(data)
         except TimeoutError as exc:
             if self._http.transport is not None:
                 self._http.transport.abort()
-            raise ConnectionAbortedError(NOT_READING) from exc
+            raise ConnectionAbortedError(CALLER_NOT_READING) from exc
 
     async def send_doc(self, doc: dict[str, Any]) -> None:
         """Sends one event with a JSON document."""
@@ -299,41 +315,41 @@
     async def end(self, last: bytes) -> web.StreamResponse:
         """Sends the last bytes and ends the stream."""
         await self.send(last)
-        await self._resp.write_eof()
-        return self._resp
+        await self._response.write_eof()
+        return self._response
 
 
-def _listening(address: str) -> socket.socket:
+def _listen(address: str) -> socket.socket:
     host, _, port = address.rpartition(":")
-    sock = socket.create_server((host, int(port)), backlog=BACKLOG)
+    sock = socket.create_server((host, int(port)), backlog=LISTEN_BACKLOG)
     # Connections inherit it: what a caller that reads slowly can hold up is bounded.
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
     sock.setblocking(False)
     return sock
 
 
-def _shower(events: _Events, req: Request, form: Form) -> Callable[[str], Any]:
+def _text_sender(events: _EventStream, req: Request, form: ResponseBuilder) -> Callable[[str], Any]:
     async def show(text: str) -> None:
-        opening = None if events.begun else opening_doc(req, form)
+        opening = None if events.started else first_chunk_doc(req, form)
         if opening is not None:
             await events.send_doc(opening)
-        await events.send_doc(piece_doc(req, form, text, None))
+        await events.send_doc(chunk_doc(req, form, text, None))
 
     return show
 
 
 async def _end_stream(
-    events: _Events, req: Request, form: Form, outcome: Outcome
+    events: _EventStream, req: Request, form: ResponseBuilder, outcome: Outcome
 ) -> web.StreamResponse:
     if not isinstance(outcome, Answered):
         # No [DONE]: the answer is not whole, and a caller must not take it for one.
         await events.send_doc(error_doc(outcome))
         return await events.end(b"")
-    await events.send_doc(piece_doc(req, form, "", outcome.finish))
+    await events.send_doc(chunk_doc(req, form, "", outcome.finish))
     return await events.end(SSE_END)
 
 
-def _told(req: Request, outcome: Outcome) -> web.Response:
+def _outcome_response(req: Request, outcome: Outcome) -> web.Response:
     return error_response(outcome, _headers(req))
 
 
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/httpterms.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/httpterms.py
@@ -24,15 +24,15 @@
 DEADLINE_BOUNDS: Final = (0, 2**32 - 1)
 
 
-def terms_of(http: web.Request) -> Terms | NotRun:
+def read_terms(http: web.Request) -> Terms | NotRun:
     """Returns the terms of a request; an empty idempotency key is refused, not taken as none."""
     key = http.headers.get(KEY_HEADER)
     if key is not None and not key.strip():
         return NotRun(Reason.MALFORMED, detail=BAD_KEY)
-    priority = _number(http, PRIORITY_HEADER, PRIORITY_BOUNDS)
+    priority = _read_number(http, PRIORITY_HEADER, PRIORITY_BOUNDS)
     if isinstance(priority, NotRun):
         return priority
-    deadline_ms = _number(http, DEADLINE_HEADER, DEADLINE_BOUNDS)
+    deadline_ms = _read_number(http, DEADLINE_HEADER, DEADLINE_BOUNDS)
     if isinstance(deadline_ms, NotRun):
         return deadline_ms
     return Terms(
@@ -44,7 +44,7 @@
     )
 
 
-def _number(http: web.Request, name: str, bounds: tuple[int, int]) -> int | NotRun:
+def _read_number(http: web.Request, name: str, bounds: tuple[int, int]) -> int | NotRun:
     least, most = bounds
     text = http.headers.get(name, "0")
     # Longer ones are out of bounds, and slow to parse.
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/intake.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/intake.py
@@ -31,14 +31,14 @@
     BAD_MODEL,
     BAD_OPERATION,
     BAD_TOKENS,
-    LARGE_BODY,
-    LONG_PROMPT,
-    MANY_TOKENS,
+    BODY_TOO_LARGE,
+    PROMPT_TOO_LONG,
+    TOO_MANY_TOKENS,
 )
 
-ANONYMOUS: Final = "anonymous"
+ANONYMOUS_CALLER: Final = "anonymous"
 DEFAULT_TOKENS: Final = 256
-MAX_TEXT: Final = 255
+MAX_TEXT_CHARS: Final = 255
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
     deadline_ms: int = 0
 
 
-def take_generate(
+def make_generate_request(
     opts: Options, catalogue: Catalogue, model: str, prompt: str, max_tokens: int, terms: Terms
 ) -> Request | NotRun:
     """Makes a request for text generation."""
@@ -69,10 +69,10 @@
     if tokens < 0:
         return _malformed(BAD_TOKENS)
     if tokens > limits.max_tokens:
-        return NotRun(Reason.TOO_LARGE, detail=MANY_TOKENS.format(most=limits.max_tokens))
+        return NotRun(Reason.TOO_LARGE, detail=TOO_MANY_TOKENS.format(most=limits.max_tokens))
     if len(prompt) > limits.prompt_chars:
-        return NotRun(Reason.TOO_LARGE, detail=LONG_PROMPT.format(most=limits.prompt_chars))
-    wrong = _wrong_terms(terms)
+        return NotRun(Reason.TOO_LARGE, detail=PROMPT_TOO_LONG.format(most=limits.prompt_chars))
+    wrong = _invalid_term(terms)
     if wrong:
         return _malformed(wrong)
     name = parse_model(model)
@@ -83,16 +83,16 @@
         return NotRun(target.reason)
     digest = request_digest(model, prompt, str(tokens))
     work = Generate(target, prompt, tokens)
-    return _request(opts, catalogue, work, name.service, terms, digest)
+    return _make_request(opts, catalogue, work, name.service, terms, digest)
 
 
-def take_call(
+def make_call_request(
     opts: Options, catalogue: Catalogue, service: str, operation: str, body: bytes, terms: Terms
 ) -> Request | NotRun:
     """Makes a request for a call to a plain service."""
     if len(body) > opts.limits.body_bytes:
-        return NotRun(Reason.TOO_LARGE, detail=LARGE_BODY.format(most=opts.limits.body_bytes))
-    wrong = _wrong_terms(terms)
+        return NotRun(Reason.TOO_LARGE, detail=BODY_TOO_LARGE.format(most=opts.limits.body_bytes))
+    wrong = _invalid_term(terms)
     if wrong:
         return _malformed(wrong)
     if not is_operation(operation):
@@ -103,14 +103,14 @@
     if not _is_json(body):
         return _malformed(BAD_JSON)
     digest = request_digest(service, operation, body)
-    return _request(opts, catalogue, Call(service, operation, body), service, terms, digest)
+    return _make_request(opts, catalogue, Call(service, operation, body), service, terms, digest)
 
 
 def _malformed(detail: str) -> NotRun:
     return NotRun(Reason.MALFORMED, detail=detail)
 
 
-def _wrong_terms(terms: Terms) -> str:
+def _invalid_term(terms: Terms) -> str:
     """Returns what is wrong with the texts of the terms; they travel on and are kept."""
     if not _is_short_text(terms.caller):
         return BAD_CALLER
@@ -118,10 +118,10 @@
 
 
 def _is_short_text(text: str) -> bool:
-    return len(text) <= MAX_TEXT and (not text or text.isprintable())
+    return len(text) <= MAX_TEXT_CHARS and (not text or text.isprintable())
 
 
-def _request(
+def _make_request(
     opts: Options,
     catalogue: Catalogue,
     work: Generate | Call,
@@ -135,18 +135,18 @@
     return Request(
         id=made,
         work=work,
-        caller=terms.caller or ANONYMOUS,
+        caller=terms.caller or ANONYMOUS_CALLER,
         priority=terms.priority,
         # A key asks for at most one run, whether or not the caller also says so.
         idempotent=not key,
         key=key,
         received=now,
-        deadline=now + _deadline(opts, catalogue, service, terms),
+        deadline=now + _deadline_seconds(opts, catalogue, service, terms),
         digest=digest,
     )
 
 
-def _deadline(opts: Options, catalogue: Catalogue, service: str, terms: Terms) -> float:
+def _deadline_seconds(opts: Options, catalogue: Catalogue, service: str, terms: Terms) -> float:
     known = catalogue.service(service)
     asked_ms = terms.deadline_ms or (known.deadline_ms if known else 0)
     seconds = asked_ms / MS_PER_SECOND or opts.timing.default_deadline
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/journal.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/journal.py
@@ -31,16 +31,16 @@
 class Journal:
     """The last requests of this instance."""
 
-    __slots__ = ("_bound", "_entries")
+    __slots__ = ("_entries", "_max_requests")
 
     def __init__(self, bound: int) -> None:
-        self._bound = bound
+        self._max_requests = bound
         self._entries: OrderedDict[str, Entry] = OrderedDict()
 
     def open(self, request: str, received: float) -> None:
         """Begins to remember a request; the oldest one is forgotten if there are too many."""
         self._entries[request] = Entry(received)
-        if len(self._entries) > self._bound:
+        if len(self._entries) > self._max_requests:
             self._entries.popitem(last=False)
 
     def note(self, request: str, step: str, reason: str = "", detail: str = "") -> None:
@@ -50,7 +50,7 @@
             at = monotonic() - entry.received
             entry.decisions.append(Decision(at, step, reason, detail))
 
-    def close(self, request: str, outcome: Outcome) -> None:
+    def set_outcome(self, request: str, outcome: Outcome) -> None:
         """Remembers how a request ended."""
         entry = self._entries.get(request)
         if entry is not None:
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/membership.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/membership.py
@@ -16,25 +16,25 @@
 from wigeonarch_core import listing
 from wigeonarch_core.fleet import Fleet
 from wigeonarch_core.lease import HeldLease
-from wigeonarch_core.listing import Listed, ListNews, Presence, Role, SharedList
+from wigeonarch_core.listing import Listed, ListUpdate, Presence, Role, SharedList
 from wigeonarch_core.messages import EngineSummary, Heartbeat, Moved
 from wigeonarch_core.options import Options
 from wigeonarch_core.promises import PromisesGiven
 from wigeonarch_core.records import LEASES, OWNERS, LeaseRecord, OwnerRecord
-from wigeonarch_core.serving_right import LeasePeriod, Reach
+from wigeonarch_core.serving_right import LeasePeriod, PlatformReachability
 from wigeonarch_runtime.clock import monotonic
 from wigeonarch_runtime.logs import log
 
 from wigeonarch_entry.following import Follower
 from wigeonarch_entry.peers import Peers
-from wigeonarch_entry.platform import Found, Platform, Unavailable, Written
+from wigeonarch_entry.platform import Found, PlatformClient, Unavailable, Written
 
 # Heartbeats go to all peers in the zone and to this many of the other zones.
-FAR_PEERS: Final = 8
+OTHER_ZONE_PEERS: Final = 8
 # Summaries go out when they have changed, and all the same with each n-th heartbeat: one may be
 # lost, and a peer may be new.
-FULL_BEAT: Final = 8
-PAUSE_POLL: Final = 0.1
+FULL_SUMMARIES_EVERY: Final = 8
+PAUSE_CHECK_INTERVAL: Final = 0.1
 
 
 class Membership:
@@ -52,21 +52,21 @@
 
     __slots__ = (
         "_applied",
-        "_beats",
+        "_heartbeats_sent",
         "_leases",
         "_list",
-        "_needed",
+        "_live_zone_peers",
         "_opts",
         "_owners",
         "_peers",
         "_platform",
+        "_sent_summaries",
         "_summaries",
-        "_told",
         "draining",
         "fleet",
         "lease",
+        "lease_period",
         "listed",
-        "period",
         "promises",
         "reaches_platform",
     )
@@ -75,7 +75,7 @@
         self,
         opts: Options,
         boot: str,
-        platform: Platform,
+        platform: PlatformClient,
         peers: Peers,
         applied: Callable[[], int],
         summaries: Callable[[], tuple[EngineSummary, ...]],
@@ -86,47 +86,47 @@
         self._peers = peers
         self._applied = applied
         self._summaries = summaries
-        self._beats = 0
+        self._heartbeats_sent = 0
         self._list = SharedList()
-        self._told: tuple[EngineSummary, ...] = ()
+        self._sent_summaries: tuple[EngineSummary, ...] = ()
         self.reaches_platform = False
-        self._needed: tuple[str, ...] = ()
+        self._live_zone_peers: tuple[str, ...] = ()
         self.promises = PromisesGiven(timing.lease_term)
         self.fleet = Fleet(opts.instance, opts.zone, boot, timing.lease_margin, timing.lease_term)
         self.lease = HeldLease(timing.lease_term, timing.lease_margin)
-        self.period = LeasePeriod(timing.lease_term, timing.lease_margin, monotonic())
+        self.lease_period = LeasePeriod(timing.lease_term, timing.lease_margin, monotonic())
         self.listed = asyncio.Event()
         self.draining = False
         silence = timing.watch_silence
-        self._leases = Follower(platform, LEASES, silence, self._saw_lease, self._lost_lease)
-        self._owners = Follower(platform, OWNERS, silence, self._saw_owner, _ignore)
+        self._leases = Follower(platform, LEASES, silence, self._on_lease, self._on_lease_deleted)
+        self._owners = Follower(platform, OWNERS, silence, self._on_owner, _on_owner_deleted)
 
     async def run(self) -> None:
         """Runs all duties until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._keep_lease())
-            tasks.create_task(self._keep_watch())
-            tasks.create_task(self._keep_list())
-            tasks.create_task(self._keep_heartbeats())
+            tasks.create_task(self._run_renewals())
+            tasks.create_task(self._run_pause_detection())
+            tasks.create_task(self._poll_list())
+            tasks.create_task(self._run_heartbeats())
             tasks.create_task(self._leases.run())
             tasks.create_task(self._owners.run())
 
     @property
-    def reach(self) -> Reach:
+    def reachability(self) -> PlatformReachability:
         """Whether the platform answers."""
-        return self._platform.reach
+        return self._platform.reachability
 
     @property
-    def informed(self) -> bool:
+    def initialized(self) -> bool:
         """Whether list, leases and owners have all been seen once."""
         events = (self.listed, self._leases.listed, self._owners.listed)
         return all(event.is_set() for event in events)
 
-    async def renew(self) -> bool:
+    async def renew_lease(self) -> bool:
         """Renews the lease once, also to publish what this instance has applied."""
         sent_at = monotonic()
-        record = self.record()
-        self.lease.trying(sent_at)
+        record = self.lease_record()
+        self.lease.record_attempt(sent_at)
         if self.lease.version:
             result = await self._platform.replace(
                 LEASES, record.instance, record, self.lease.version
@@ -135,13 +135,15 @@
             result = await self._platform.create(LEASES, record.instance, record)
         if isinstance(result, Written):
             now = monotonic()
-            self.lease.renewed(sent_at, result.version, now)
-            self.period.renewed(sent_at, now)
+            self.lease.record_renewal(sent_at, result.version, now)
+            self.lease_period.record_renewal(sent_at, now)
             self.reaches_platform = True
-            self._needed = tuple(n for n in self.fleet.live_in_zone(now) if n != self.fleet.me)
+            self._live_zone_peers = tuple(
+                n for n in self.fleet.live_instances_in_zone(now) if n != self.fleet.own_name
+            )
             return True
         self.reaches_platform = not isinstance(result, Unavailable)
-        await self._settle()
+        await self._read_lease_back()
         return False
 
     async def announce_leaving(self) -> None:
@@ -150,104 +152,104 @@
         me = Listed(self._opts.instance, self._opts.http, self._opts.zone, Role.ENTRY, state=state)
         await self._platform.register(me)
 
-    async def give_up(self) -> None:
+    async def leave(self) -> None:
         """Deletes the lease and the list entry at the end of a graceful shutdown."""
-        self.lease.lost()
+        self.lease.invalidate()
         await self._platform.delete(LEASES, self._opts.instance, self.lease.version)
         await self._platform.unregister(self._opts.instance)
 
     def may_own(self, now: float) -> bool:
         """Tells whether this instance can take engines."""
-        return self.informed and not self.draining and self.lease.holds(now)
+        return self.initialized and not self.draining and self.lease.is_valid(now)
 
     def zone_peers(self) -> list[str]:
         """Returns the other instances of the zone that have ever been seen."""
         zone = self._opts.zone
         known = [name for name, peer in self.fleet.peers.items() if peer.record.zone == zone]
-        return known + self._strangers()
+        return known + self._unknown_peers()
 
-    def needed(self) -> list[str]:
+    def potential_successors(self) -> list[str]:
         """Returns those who could take over, and so must have promised not to.
 
         They are the instances of the zone whose leases held when the platform was last reached. One
         that is shutting down takes nothing over.
         """
-        return [name for name in self._needed if not self._is_draining(name)]
+        return [name for name in self._live_zone_peers if not self._is_draining(name)]
 
     def _is_draining(self, name: str) -> bool:
         peer = self.fleet.peers.get(name)
         return peer is not None and peer.heartbeat is not None and peer.heartbeat.draining
 
-    def moved(self, moved: Moved) -> None:
+    def handle_moved(self, moved: Moved) -> None:
         """Takes a former owner's word that an engine has a new owner."""
-        record = OwnerRecord(moved.engine, moved.owner, moved.boot, moved.last)
-        self.fleet.saw_owner(record, moved.fence)
+        record = OwnerRecord(moved.engine, moved.owner, moved.boot, moved.previous_fence)
+        self.fleet.observe_owner(record, moved.fence)
 
-    async def _settle(self) -> None:
+    async def _read_lease_back(self) -> None:
         """Reads the lease back after a conflict or a lost answer."""
         found = await self._platform.get(LEASES, self._opts.instance)
         if not isinstance(found, Found):
             return
         record = msgspec.convert(found.value, LeaseRecord)
         if record.boot == self.fleet.boot:
-            self.lease.read_back(found.version, monotonic())
+            self.lease.record_stored_version(found.version, monotonic())
             return
         # An earlier process of this name: the next renewal replaces its lease.
-        self.fleet.saw_lease(record, found.version, monotonic())
-        self.lease.replaced(found.version)
+        self.fleet.observe_lease(record, found.version, monotonic())
+        self.lease.record_replacement(found.version)
 
-    async def _keep_watch(self) -> None:
+    async def _run_pause_detection(self) -> None:
         """Notices pauses of this process, and when it has been told of everything."""
         while True:
             now = monotonic()
-            paused = self.lease.alive(now)
+            paused = self.lease.record_running(now)
             if paused:
                 log("paused", "WARNING", seconds=round(paused, 3))
-            if self.informed and self.fleet.informed_at is None:
-                self.fleet.informed_at = now
-            await asyncio.sleep(PAUSE_POLL)
+            if self.initialized and self.fleet.initialized_at is None:
+                self.fleet.initialized_at = now
+            await asyncio.sleep(PAUSE_CHECK_INTERVAL)
 
-    async def _keep_lease(self) -> None:
+    async def _run_renewals(self) -> None:
         pause = self._opts.timing.lease_term / 3
         while True:
-            renewed = await self.renew() and self.lease.holds(monotonic())
+            renewed = await self.renew_lease() and self.lease.is_valid(monotonic())
             # A failed renewal is repeated sooner, with jitter; so is one that a pause has followed.
             await asyncio.sleep(pause if renewed else random.uniform(pause / 6, pause / 2))
 
-    async def _keep_list(self) -> None:
+    async def _poll_list(self) -> None:
         timing = self._opts.timing
         me = Listed(self._opts.instance, self._opts.http, self._opts.zone, Role.ENTRY)
         while True:
             asked_at = monotonic()
-            items = await self._platform.instances()
+            items = await self._platform.list_instances()
             if not isinstance(items, Unavailable):
                 age = monotonic() - asked_at
-                self._saw_list(self._list.read(self._opts.instance, items, age))
+                self._apply_list(self._list.replace(self._opts.instance, items, age))
                 if self._opts.instance not in self.fleet.entries and not self.draining:
                     await self._platform.register(me)
-            heard = self.fleet.heard_within(timing.peer_timeout, monotonic())
+            heard = self.fleet.instances_heard_within(timing.peer_timeout, monotonic())
             sharing = sum(name in heard for name in self.zone_peers())
-            pause = listing.pause(timing.list_interval, sharing)
+            pause = listing.read_interval(timing.list_interval, sharing)
             await asyncio.sleep(pause * random.uniform(0.8, 1.2))
 
-    def _saw_list(self, news: ListNews | None) -> None:
-        self.fleet.saw_list(self._list.items.values())
+    def _apply_list(self, news: ListUpdate | None) -> None:
+        self.fleet.observe_list(self._list.items.values())
         self.listed.set()
         if news is not None:
             for name in self.zone_peers():
                 self._peers.send(name, news)
 
-    def list_news(self, news: ListNews) -> None:
+    def handle_list_update(self, news: ListUpdate) -> None:
         """Takes a zone peer's word on what has changed in the platform's list."""
-        if self._list.heard(news):
-            self.fleet.saw_list(self._list.items.values())
+        if self._list.apply(news):
+            self.fleet.observe_list(self._list.items.values())
 
-    async def _keep_heartbeats(self) -> None:
+    async def _run_heartbeats(self) -> None:
         while True:
-            self._beat()
+            self._send_heartbeats()
             await asyncio.sleep(self._opts.timing.heartbeat)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         now = monotonic()
         beat = Heartbeat(
             instance=self._opts.instance,
@@ -256,47 +258,47 @@
             applied=self._applied(),
             draining=self.draining,
             platform=self.reaches_platform,
-            engines=self._news(),
-            leased=self.period.holds(now),
-            reaches=self.reach.reaches(now),
-            settled=self.reach.settled(now),
-            promised=self.promises.owners(now),
-            peer=self.record().peer,
+            engines=self._changed_summaries(),
+            leased=self.lease_period.is_valid(now),
+            reaches=self.reachability.is_reachable(now),
+            settled=self.reachability.is_settled(now),
+            promised_owners=self.promises.owners(now),
+            peer_address=self.lease_record().peer,
             sent=now,
         )
-        for name in self._beat_targets():
+        for name in self._heartbeat_targets():
             peer = self.fleet.peers.get(name)
             echo = peer.heartbeat.sent if peer and peer.heartbeat else 0.0
             self._peers.send(name, msgspec.structs.replace(beat, echo=echo))
 
-    def heard(self, beat: Heartbeat) -> None:
+    def handle_heartbeat(self, beat: Heartbeat) -> None:
         """Takes a heartbeat; an instance of the zone that was not known is answered."""
-        self.fleet.heard(beat, monotonic())
-        if beat.instance in self.fleet.strangers:
-            self._peers.connect(beat.instance, beat.peer)
+        self.fleet.observe_heartbeat(beat, monotonic())
+        if beat.instance in self.fleet.unknown_peers:
+            self._peers.connect(beat.instance, beat.peer_address)
 
-    def _strangers(self) -> list[str]:
+    def _unknown_peers(self) -> list[str]:
         until = monotonic() - self._opts.timing.lease_term
-        return [name for name, heard in self.fleet.strangers.items() if heard > until]
+        return [name for name, heard in self.fleet.unknown_peers.items() if heard > until]
 
-    def _news(self) -> tuple[EngineSummary, ...]:
+    def _changed_summaries(self) -> tuple[EngineSummary, ...]:
         """Returns the summaries that peers do not have yet, or all of them now and then."""
         summaries = self._summaries()
-        full = self._beats % FULL_BEAT == 0
-        self._beats += 1
-        news = tuple(each for each in summaries if full or each not in self._told)
-        self._told = summaries
+        full = self._heartbeats_sent % FULL_SUMMARIES_EVERY == 0
+        self._heartbeats_sent += 1
+        news = tuple(each for each in summaries if full or each not in self._sent_summaries)
+        self._sent_summaries = summaries
         return news
 
-    def _beat_targets(self) -> list[str]:
+    def _heartbeat_targets(self) -> list[str]:
         near: list[str] = []
         far: list[str] = []
         for name, peer in self.fleet.peers.items():
             (near if peer.record.zone == self._opts.zone else far).append(name)
-        near += self._strangers()
-        return near + random.sample(far, min(FAR_PEERS, len(far)))
+        near += self._unknown_peers()
+        return near + random.sample(far, min(OTHER_ZONE_PEERS, len(far)))
 
-    def record(self) -> LeaseRecord:
+    def lease_record(self) -> LeaseRecord:
         """Returns the lease record that a renewal stores."""
         return LeaseRecord(
             instance=self._opts.instance,
@@ -307,25 +309,25 @@
             term=self._opts.timing.lease_term,
             applied=self._applied(),
             draining=self.draining,
-            settled=self.reach.settled(monotonic()),
+            settled=self.reachability.is_settled(monotonic()),
         )
 
-    def _saw_lease(self, _name: str, version: int, value: Any) -> None:
+    def _on_lease(self, _name: str, version: int, value: Any) -> None:
         record = msgspec.convert(value, LeaseRecord)
-        self.fleet.saw_lease(record, version, monotonic())
+        self.fleet.observe_lease(record, version, monotonic())
         if record.instance != self._opts.instance:
             self._peers.connect(record.instance, record.peer)
 
-    def _lost_lease(self, name: str) -> None:
+    def _on_lease_deleted(self, name: str) -> None:
         if name == self._opts.instance:
             return
         log("peer_stopped", peer=name)
-        self.fleet.lost_lease(name)
+        self.fleet.observe_lease_deleted(name)
         self._peers.disconnect(name)
 
-    def _saw_owner(self, _name: str, version: int, value: Any) -> None:
-        self.fleet.saw_owner(msgspec.convert(value, OwnerRecord), version)
+    def _on_owner(self, _name: str, version: int, value: Any) -> None:
+        self.fleet.observe_owner(msgspec.convert(value, OwnerRecord), version)
 
 
-def _ignore(_name: str) -> None:
+def _on_owner_deleted(_name: str) -> None:
     """Ownership objects are never deleted; a stray deletion changes nothing."""
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/metrics.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/metrics.py
@@ -14,10 +14,10 @@
 OUTCOME_KINDS: Final = tuple(kind.__name__.lower() for kind in (Answered, NotRun, Unknown, Failed))
 RESUME_REASONS: Final = (Reason.CONNECTION_LOST, Reason.SILENT)
 
-STALL_BUCKETS: Final = (0.0, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
+LOAD_STALL_BUCKETS: Final = (0.0, 0.01, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0)
 FIRST_TOKEN_BUCKETS: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.77, 1.5, 3.0, 10.0)
-TOKEN_BUCKETS: Final = (0.001, 0.002, 0.005, 0.01, 0.02, 0.028, 0.05, 0.1, 0.5, 2.0)
-FILL_BUCKETS: Final = (0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0)
+BETWEEN_TOKENS_BUCKETS: Final = (0.001, 0.002, 0.005, 0.01, 0.02, 0.028, 0.05, 0.1, 0.5, 2.0)
+BATCH_FILL_BUCKETS: Final = (0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0)
 
 
 class Metrics:
@@ -47,7 +47,7 @@
         self.platform_calls = Counter(
             "wigeonarch_platform_calls", "Calls to the platform", ["call", "result"], registry=reg
         )
-        self.ownership = Counter(
+        self.ownership_moves = Counter(
             "wigeonarch_ownership_moves", "Ownership writes", ["move", "result"], registry=reg
         )
         self.keys = Counter(
@@ -65,20 +65,20 @@
         self.log_readings = Counter(
             "wigeonarch_log_readings", "Readings of the log beside the watch", registry=reg
         )
-        self.dropped = Counter(
+        self.peer_messages_dropped = Counter(
             "wigeonarch_peer_messages_dropped", "Messages to peers not sent", registry=reg
         )
-        self.in_progress = Gauge(
+        self.requests_in_progress = Gauge(
             "wigeonarch_requests_in_progress", "Requests in progress", registry=reg
         )
-        self.applied = Gauge(
+        self.configuration_applied = Gauge(
             "wigeonarch_configuration_applied", "Last change in force here", registry=reg
         )
-        self.owned = Gauge("wigeonarch_engines_owned", "Engines owned", registry=reg)
-        self.stall = Histogram(
+        self.engines_owned = Gauge("wigeonarch_engines_owned", "Engines owned", registry=reg)
+        self.load_stall = Histogram(
             "wigeonarch_load_stall_seconds",
             "Time that requests waited for a load",
-            buckets=STALL_BUCKETS,
+            buckets=LOAD_STALL_BUCKETS,
             registry=reg,
         )
         self.first_token = Histogram(
@@ -90,19 +90,19 @@
         self.between_tokens = Histogram(
             "wigeonarch_between_tokens_seconds",
             "Time between tokens",
-            buckets=TOKEN_BUCKETS,
+            buckets=BETWEEN_TOKENS_BUCKETS,
             registry=reg,
         )
         self.batch_fill = Histogram(
             "wigeonarch_batch_fill_ratio",
             "Share of batch places used, as engines report it",
-            buckets=FILL_BUCKETS,
+            buckets=BATCH_FILL_BUCKETS,
             registry=reg,
         )
 
-        self._show_zeros()
+        self._create_labelled_counters()
 
-    def _show_zeros(self) -> None:
+    def _create_labelled_counters(self) -> None:
         """Makes each labelled counter of requests, so that a rate has a value before its first."""
         for kind in OUTCOME_KINDS:
             self.requests.labels(kind)
@@ -112,6 +112,6 @@
         for reason in RESUME_REASONS:
             self.resumes.labels(reason)
 
-    def text(self) -> bytes:
+    def exposition(self) -> bytes:
         """Returns the exposition format of all metrics."""
         return generate_latest(self.registry)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/node.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/node.py
@@ -6,18 +6,18 @@
 import secrets
 from typing import Final
 
-from wigeonarch_core.listing import ListNews
+from wigeonarch_core.listing import ListUpdate
 from wigeonarch_core.messages import (
     Accepted,
-    Ask,
     ChangeNotice,
     DeclarePins,
     Granted,
+    GrantRequest,
     Heartbeat,
     HeldPins,
     LoadBid,
     LoadEnded,
-    LoadTurn,
+    LoadPermit,
     Message,
     Moved,
     Offer,
@@ -29,31 +29,31 @@
 )
 from wigeonarch_core.options import Options
 from wigeonarch_core.outcomes import Reason
-from wigeonarch_core.serving_right import Reach
+from wigeonarch_core.serving_right import PlatformReachability
 from wigeonarch_runtime.logs import log
 
 from wigeonarch_entry.configuration import Configuration
 from wigeonarch_entry.dispatch import Dispatcher
-from wigeonarch_entry.engines import Engines
-from wigeonarch_entry.grants import Grants
-from wigeonarch_entry.httpdoor import HttpDoor
+from wigeonarch_entry.engines import EngineClient
+from wigeonarch_entry.grantrequester import GrantRequester
+from wigeonarch_entry.httpserver import HttpServer
 from wigeonarch_entry.journal import Journal
-from wigeonarch_entry.keys import Keys
+from wigeonarch_entry.keys import IdempotencyKeys
 from wigeonarch_entry.membership import Membership
 from wigeonarch_entry.metrics import Metrics
-from wigeonarch_entry.owners import Owners
+from wigeonarch_entry.owners import OwnerDuties
 from wigeonarch_entry.peers import Peers
-from wigeonarch_entry.platform import Platform
+from wigeonarch_entry.platform import PlatformClient
 from wigeonarch_entry.refusals import Refusals
-from wigeonarch_entry.rpcdoor import RpcDoor
-from wigeonarch_entry.rpcparts import Parts
-from wigeonarch_entry.services import Services
+from wigeonarch_entry.rpccommon import Dependencies
+from wigeonarch_entry.rpcserver import RpcServer
+from wigeonarch_entry.services import ServiceClient
 
 # Random bytes of the nonce that tells one process of an instance from the next.
-BOOT_BYTES: Final = 8
+BOOT_NONCE_BYTES: Final = 8
 # The platform's watches carry a line a second, so a longer silence means that it is out of reach;
 # that must be noticed before the lease ends.
-PLATFORM_SILENCE: Final = 2.0
+MAX_PLATFORM_SILENCE: Final = 2.0
 
 
 class Node:
@@ -66,18 +66,18 @@
     __slots__ = (
         "_configuration",
         "_dispatcher",
-        "_draining",
-        "_engines",
-        "_grants",
+        "_drain_requested",
+        "_engine_client",
+        "_grant_requester",
         "_handlers",
-        "_http",
+        "_http_server",
         "_keys",
         "_membership",
-        "_owners",
+        "_owner_duties",
         "_peers",
         "_platform",
-        "_rpc",
-        "_services",
+        "_rpc_server",
+        "_service_client",
         "_tasks",
         "opts",
     )
@@ -88,10 +88,10 @@
         timing = opts.timing
         metrics = Metrics()
         journal = Journal(opts.limits.explained)
-        self._draining = asyncio.Event()
-        silence = min(PLATFORM_SILENCE, timing.lease_term / 2)
-        reach = Reach(silence, timing.peer_timeout + timing.lease_margin)
-        self._platform = Platform(
+        self._drain_requested = asyncio.Event()
+        silence = min(MAX_PLATFORM_SILENCE, timing.lease_term / 2)
+        reach = PlatformReachability(silence, timing.peer_timeout + timing.lease_margin)
+        self._platform = PlatformClient(
             opts.platform,
             opts.instance,
             opts.zone,
@@ -100,87 +100,96 @@
             reach,
             opts.source,
         )
-        self._engines = Engines(timing.connect_timeout, opts.source)
-        self._services = Services(timing.connect_timeout, opts.source)
+        self._engine_client = EngineClient(timing.connect_timeout, opts.source)
+        self._service_client = ServiceClient(timing.connect_timeout, opts.source)
         self._peers = Peers(opts.peer, self._deliver, metrics, opts.source)
         self._membership = Membership(
             opts,
-            secrets.token_hex(BOOT_BYTES),
+            secrets.token_hex(BOOT_NONCE_BYTES),
             self._platform,
             self._peers,
             lambda: self._configuration.catalogue.applied,
-            lambda: self._owners.summaries(),
+            lambda: self._owner_duties.summaries(),
         )
         fleet = self._membership.fleet
         self._configuration = Configuration(
-            opts, self._platform, self._membership, self._notify_all, metrics
+            opts, self._platform, self._membership, self._broadcast_change, metrics
         )
-        self._owners = Owners(
+        self._owner_duties = OwnerDuties(
             opts,
             self._platform,
             self._membership,
-            self._engines,
+            self._engine_client,
             self._send,
             metrics,
             self._checks_fence,
         )
-        self._grants = Grants(timing, opts.policy.pin_margin, fleet, self._send)
-        keys = Keys(self._platform, opts.instance, timing.key_retention, metrics)
+        self._grant_requester = GrantRequester(timing, opts.policy.pin_margin, fleet, self._send)
+        keys = IdempotencyKeys(self._platform, opts.instance, timing.key_retention, metrics)
         self._keys = keys
         self._dispatcher = Dispatcher(
-            opts, fleet, self._grants, self._engines, self._services, keys, journal, metrics
+            opts,
+            fleet,
+            self._grant_requester,
+            self._engine_client,
+            self._service_client,
+            keys,
+            journal,
+            metrics,
         )
         catalogue = self._configuration.catalogue
         refusals = Refusals(journal, metrics)
-        self._http = HttpDoor(opts, catalogue, self._dispatcher, metrics, refusals, self.refusal)
-        parts = Parts(
+        self._http_server = HttpServer(
+            opts, catalogue, self._dispatcher, metrics, refusals, self.refusal_reason
+        )
+        parts = Dependencies(
             opts,
             self._membership,
             self._configuration,
             self._dispatcher,
-            self._engines,
+            self._engine_client,
             journal,
             keys,
             refusals,
-            self.refusal,
+            self.refusal_reason,
             self.drain,
         )
-        self._rpc = RpcDoor(parts)
+        self._rpc_server = RpcServer(parts)
         self._tasks: list[asyncio.Task[None]] = []
         self._handlers = {
-            Ask: self._owners.asked,
-            Release: self._owners.released,
-            HeldPins: self._owners.granting.pins_declared,
-            Support: self._owners.supporting.asked,
-            Promised: self._owners.supporting.promised,
-            Renewed: self._owners.supporting.renewed,
-            Offer: self._owners.hand_overs.offered,
-            Accepted: self._owners.hand_overs.accepted,
-            Moved: self._moved,
-            LoadBid: self._owners.turns.bid,
-            LoadTurn: self._owners.orders.turn_given,
-            LoadEnded: self._owners.turns.load_ended,
-            Granted: self._grants.answered,
-            Refused: self._grants.answered,
-            DeclarePins: self._grants.declare,
-            ListNews: self._membership.list_news,
-            ChangeNotice: self._configuration.noticed,
+            GrantRequest: self._owner_duties.handle_grant_request,
+            Release: self._owner_duties.handle_release,
+            HeldPins: self._owner_duties.grant_issuer.handle_held_pins,
+            Support: self._owner_duties.lease_support.handle_support,
+            Promised: self._owner_duties.lease_support.handle_promised,
+            Renewed: self._owner_duties.lease_support.handle_renewed,
+            Offer: self._owner_duties.hand_overs.handle_offer,
+            Accepted: self._owner_duties.hand_overs.handle_accepted,
+            Moved: self._handle_moved,
+            LoadBid: self._owner_duties.load_permits.handle_bid,
+            LoadPermit: self._owner_duties.orders.handle_load_permit,
+            LoadEnded: self._owner_duties.load_permits.handle_load_ended,
+            Granted: self._grant_requester.handle_answer,
+            Refused: self._grant_requester.handle_answer,
+            DeclarePins: self._grant_requester.handle_declare_pins,
+            ListUpdate: self._membership.handle_list_update,
+            ChangeNotice: self._configuration.handle_change_notice,
         }
 
-    def refusal(self) -> Reason | None:
+    def refusal_reason(self) -> Reason | None:
         """Tells why this instance takes no request now; None when it takes them."""
         if self._membership.draining:
             return Reason.DRAINING
-        if not (self._membership.informed and self._owners.begun):
+        if not (self._membership.initialized and self._owner_duties.first_pass_done):
             return Reason.NOT_READY
-        return self._configuration.refusal()
+        return self._configuration.refusal_reason()
 
     def drain(self) -> None:
         """Begins the graceful shutdown; repeating it changes nothing."""
         if not self._membership.draining:
             log("draining", in_progress=self._dispatcher.in_progress)
         self._membership.draining = True
-        self._draining.set()
+        self._drain_requested.set()
 
     async def start(self) -> None:
         """Opens the doors and starts all tasks."""
@@ -188,12 +197,12 @@
             self._peers.receive(),
             self._membership.run(),
             self._configuration.run(),
-            self._owners.run(),
+            self._owner_duties.run(),
             self._keys.purge(),
         )
         self._tasks = [asyncio.create_task(work) for work in works]
-        await self._http.open()
-        await self._rpc.open()
+        await self._http_server.start()
+        await self._rpc_server.start()
         log("listening", http=self.opts.http, rpc=self.opts.rpc, peer=self.opts.peer)
 
     async def serve(self) -> None:
@@ -202,7 +211,7 @@
         Raises:
             BaseExceptionGroup: A task failed, which is a broken invariant.
         """
-        drained = asyncio.create_task(self._drained())
+        drained = asyncio.create_task(self._run_drain())
         done, _ = await asyncio.wait([drained, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
         for task in done:
             task.result()
@@ -210,35 +219,37 @@
 
     async def stop(self) -> None:
         """Closes the doors and ends all tasks."""
-        await self._http.close()
+        await self._http_server.stop()
         # No request outlives the longest deadline, so neither does a call whose answer is sent.
-        await self._rpc.close(self.opts.timing.max_deadline)
+        await self._rpc_server.stop(self.opts.timing.max_deadline)
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._peers.close()
-        await self._engines.close()
-        await self._services.close()
+        await self._engine_client.close()
+        await self._service_client.close()
         await self._platform.close()
         log("stopped")
 
-    async def _drained(self) -> None:
+    async def _run_drain(self) -> None:
         """Ends once nothing is left that this instance must do; no time cuts that off.
 
         Not ready comes first (probe and list), then ownerships leave; the door stays open until
         balancers have had time to see it, and until each request in progress has ended.
         """
-        await self._draining.wait()
+        await self._drain_requested.wait()
         seen = asyncio.create_task(asyncio.sleep(self.opts.timing.drain_notice))
         await self._membership.announce_leaving()
-        await self._awaited("hand_over", asyncio.create_task(self._owners.hand_over()))
-        await self._awaited("balancers", seen)
-        await self._awaited("requests", asyncio.create_task(self._dispatcher.idle()))
-        await self._awaited("keys", asyncio.create_task(self._keys.settled()))
-        await self._owners.vacate()
-        await self._membership.give_up()
+        await self._await_drain_step(
+            "hand_over", asyncio.create_task(self._owner_duties.hand_over())
+        )
+        await self._await_drain_step("balancers", seen)
+        await self._await_drain_step("requests", asyncio.create_task(self._dispatcher.wait_idle()))
+        await self._await_drain_step("keys", asyncio.create_task(self._keys.wait_completed()))
+        await self._owner_duties.vacate()
+        await self._membership.leave()
 
-    async def _awaited(self, what: str, task: asyncio.Task[None]) -> None:
+    async def _await_drain_step(self, what: str, task: asyncio.Task[None]) -> None:
         """Waits for a part of the shutdown, saying so now and then."""
         while not task.done():
             await asyncio.wait([task], timeout=self.opts.timing.drain_report)
@@ -252,23 +263,23 @@
             return
         self._peers.send(name, message)
 
-    def _moved(self, moved: Moved) -> None:
-        self._membership.moved(moved)
-        self._owners.moved()
-        self._grants.moved(moved)
+    def _handle_moved(self, moved: Moved) -> None:
+        self._membership.handle_moved(moved)
+        self._owner_duties.adopt_handed_over()
+        self._grant_requester.handle_moved(moved)
 
     def _checks_fence(self, service: str, endpoint: str) -> bool:
         known = self._configuration.catalogue.service(service)
         return known is not None and known.checks_fence(endpoint)
 
-    def _notify_all(self, notice: ChangeNotice) -> None:
+    def _broadcast_change(self, notice: ChangeNotice) -> None:
         for name in self._membership.fleet.peers:
             self._peers.send(name, notice)
 
     def _deliver(self, message: Message) -> None:
         if isinstance(message, Heartbeat):
-            self._membership.heard(message)
-            self._configuration.heard(message)
+            self._membership.handle_heartbeat(message)
+            self._configuration.handle_heartbeat(message)
             return
         handle: object = self._handlers[type(message)]
         handle(message)  # type: ignore[operator]
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/owned.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/owned.py
@@ -7,24 +7,24 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wigeonarch_core.custody import Custody
 from wigeonarch_core.decisions import Grant
+from wigeonarch_core.engine_grants import EngineGrants
 from wigeonarch_core.fleet import Fleet
 from wigeonarch_core.lease import HeldLease
-from wigeonarch_core.messages import Ask, Message
+from wigeonarch_core.messages import GrantRequest, Message
 from wigeonarch_core.options import Options
 from wigeonarch_core.scheduler import EngineScheduler
 
-from wigeonarch_entry.engines import Engines
+from wigeonarch_entry.engines import EngineClient
 from wigeonarch_entry.membership import Membership
 from wigeonarch_entry.metrics import Metrics
-from wigeonarch_entry.platform import Platform
+from wigeonarch_entry.platform import PlatformClient
 
 Send = Callable[[str, Message], None]
 
 
 @dataclass(slots=True)
-class Owned:
+class OwnedEngine:
     """One owned engine.
 
     Attributes:
@@ -38,24 +38,24 @@
         successor: To whom it is being handed over; empty otherwise.
     """
 
-    custody: Custody
+    engine_grants: EngineGrants
     scheduler: EngineScheduler
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    asks: dict[str, Ask] = field(default_factory=dict)
-    granted: dict[str, Grant] = field(default_factory=dict)
+    requests: dict[str, GrantRequest] = field(default_factory=dict)
+    sent_grants: dict[str, Grant] = field(default_factory=dict)
     loads: set[asyncio.Task[None]] = field(default_factory=set)
     successor: str = ""
 
     @property
     def engine(self) -> str:
         """Name of the engine."""
-        return self.custody.engine
+        return self.engine_grants.engine
 
     @property
     def fence(self) -> int:
         """Fencing number of the ownership."""
-        return self.custody.holding.fence
+        return self.engine_grants.ownership.fence
 
     @property
     def bid_id(self) -> str:
@@ -92,13 +92,13 @@
     """
 
     opts: Options
-    platform: Platform
+    platform: PlatformClient
     membership: Membership
-    engines: Engines
+    engines: EngineClient
     send: Send
     metrics: Metrics
     checks_fence: Callable[[str, str], bool]
-    owned: dict[str, Owned] = field(default_factory=dict)
+    owned: dict[str, OwnedEngine] = field(default_factory=dict)
 
     @property
     def fleet(self) -> Fleet:
@@ -111,7 +111,7 @@
         return self.membership.lease
 
     @property
-    def me(self) -> tuple[str, str]:
+    def identity(self) -> tuple[str, str]:
         """Name of this instance and nonce of this process."""
         return self.opts.instance, self.fleet.boot
 
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/owners.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/owners.py
@@ -8,30 +8,30 @@
 
 from wigeonarch_core.decisions import Refuse
 from wigeonarch_core.fleet import Peer
-from wigeonarch_core.messages import Ask, EngineSummary, Moved, Release
+from wigeonarch_core.messages import EngineSummary, GrantRequest, Moved, Release
 from wigeonarch_core.options import Options
-from wigeonarch_core.ownership import HandOver, plan
-from wigeonarch_core.quarantine import Stage
+from wigeonarch_core.ownership import HandOver, plan_moves
 from wigeonarch_core.records import LEASES
+from wigeonarch_core.takeover_quarantine import QuarantineStage
 from wigeonarch_runtime.clock import monotonic
 from wigeonarch_runtime.logs import log
 
-from wigeonarch_entry.claims import Claims
-from wigeonarch_entry.engines import Engines
-from wigeonarch_entry.granting import Granting
+from wigeonarch_entry.claims import OwnershipClaims
+from wigeonarch_entry.engines import EngineClient
+from wigeonarch_entry.grantissuer import GrantIssuer
 from wigeonarch_entry.handover import HandOvers
+from wigeonarch_entry.loadpermits import LoadPermitCoordinator
 from wigeonarch_entry.membership import Membership
 from wigeonarch_entry.metrics import Metrics
 from wigeonarch_entry.orders import Orders
-from wigeonarch_entry.owned import Owned, OwnerContext, Send
-from wigeonarch_entry.platform import Platform, Unavailable
-from wigeonarch_entry.support import Supporting
-from wigeonarch_entry.turns import Turns
+from wigeonarch_entry.owned import OwnedEngine, OwnerContext, Send
+from wigeonarch_entry.platform import PlatformClient, Unavailable
+from wigeonarch_entry.support import LeaseSupport
 
-HAND_OVER_PAUSE: Final = 1.0
+HAND_OVER_RETRY_INTERVAL: Final = 1.0
 
 
-class Owners:
+class OwnerDuties:
     """Owner duties of this instance.
 
     Attributes:
@@ -42,14 +42,22 @@
         supporting: Support in a platform outage.
     """
 
-    __slots__ = ("_claims", "_ctx", "granting", "hand_overs", "orders", "supporting", "turns")
+    __slots__ = (
+        "_claims",
+        "_ctx",
+        "grant_issuer",
+        "hand_overs",
+        "lease_support",
+        "load_permits",
+        "orders",
+    )
 
     def __init__(
         self,
         opts: Options,
-        platform: Platform,
+        platform: PlatformClient,
         membership: Membership,
-        engines: Engines,
+        engines: EngineClient,
         send: Send,
         metrics: Metrics,
         checks_fence: Callable[[str, str], bool],
@@ -57,30 +65,32 @@
         """Makes the duties; `send` delivers to any instance, this one included."""
         ctx = OwnerContext(opts, platform, membership, engines, send, metrics, checks_fence)
         self._ctx = ctx
-        self.granting = Granting(ctx)
-        self.turns = Turns(ctx)
-        self.orders = Orders(ctx, self.turns, self._fenced)
-        self.hand_overs = HandOvers(ctx, self.granting)
-        self.supporting = Supporting(opts, platform, membership, send)
-        self._claims = Claims(ctx, self.hand_overs, self._begin, self._end, self._given)
+        self.grant_issuer = GrantIssuer(ctx)
+        self.load_permits = LoadPermitCoordinator(ctx)
+        self.orders = Orders(ctx, self.load_permits, self._on_fenced)
+        self.hand_overs = HandOvers(ctx, self.grant_issuer)
+        self.lease_support = LeaseSupport(opts, platform, membership, send)
+        self._claims = OwnershipClaims(
+            ctx, self.hand_overs, self._on_owned, self._on_dropped, self._on_handed_over
+        )
 
     def summaries(self) -> tuple[EngineSummary, ...]:
         """Returns what peers need to know of the owned engines."""
         return tuple(owned.scheduler.summary(owned.fence) for owned in self._ctx.owned.values())
 
-    def stage(self, engine: str) -> Stage | None:
+    def quarantine_stage(self, engine: str) -> QuarantineStage | None:
         """Returns the stage of an owned engine's quarantine; None without one."""
         owned = self._ctx.owned.get(engine)
-        if owned is None or owned.custody.quarantine is None:
+        if owned is None or owned.engine_grants.quarantine is None:
             return None
-        return owned.custody.quarantine.stage(monotonic())
+        return owned.engine_grants.quarantine.stage(monotonic())
 
     async def run(self) -> None:
         """Keeps ownerships, support and the turn to load until cancelled."""
         works: list[Coroutine[Any, Any, None]] = [
-            self._claims.keep(),
-            self.turns.keep(),
-            self.supporting.keep(),
+            self._claims.run(),
+            self.load_permits.run(),
+            self.lease_support.run(),
         ]
         try:
             async with asyncio.TaskGroup() as tasks:
@@ -99,24 +109,24 @@
         """
         while True:
             answered = await self._hand_over_now()
-            heirs = self._heirs()
+            heirs = self._count_successors()
             if not heirs or (not self._ctx.owned and (answered or heirs > 1)):
                 return
-            await asyncio.sleep(HAND_OVER_PAUSE)
+            await asyncio.sleep(HAND_OVER_RETRY_INTERVAL)
 
     async def vacate(self) -> None:
         """Gives up what no successor took, as the last act; see `HandOvers.vacate`."""
         await self._claims.vacate_all()
 
     @property
-    def begun(self) -> bool:
+    def first_pass_done(self) -> bool:
         """Whether this instance has once tried to own what is free in its zone."""
-        return self._claims.begun
+        return self._claims.first_pass_done
 
-    def _heirs(self) -> int:
+    def _count_successors(self) -> int:
         """Returns how many other instances of the zone are heard that are not shutting down."""
         fleet, now = self._ctx.fleet, monotonic()
-        heard = fleet.heard_within(self._ctx.opts.timing.peer_timeout, now)
+        heard = fleet.instances_heard_within(self._ctx.opts.timing.peer_timeout, now)
         peers = [fleet.peers[name] for name in heard if name in fleet.peers]
         zone = self._ctx.opts.zone
         return sum(peer.record.zone == zone and not _is_draining(peer) for peer in peers)
@@ -132,7 +142,7 @@
         if not await self._platform_answers():
             log("handover_skipped", "WARNING", engines=owned, reason="platform_down")
             return False
-        moves = plan(self._ctx.fleet, self._claims.standing(), monotonic())
+        moves = plan_moves(self._ctx.fleet, self._claims.local_state(), monotonic())
         gifts = [move for move in moves if isinstance(move, HandOver)]
         if len(gifts) < owned:
             log("handover_skipped", "WARNING", engines=owned - len(gifts), reason="no_successor")
@@ -141,42 +151,42 @@
 
     # Messages of which several duties take note ------------------------------------------------
 
-    def asked(self, ask: Ask) -> None:
+    def handle_grant_request(self, ask: GrantRequest) -> None:
         """Takes an ask; one for an engine on its way to this instance is repeated by its asker."""
-        if self.hand_overs.is_coming(ask.engine) and ask.engine not in self._ctx.owned:
+        if self.hand_overs.is_offered(ask.engine) and ask.engine not in self._ctx.owned:
             return
-        self.granting.asked(ask)
+        self.grant_issuer.handle_grant_request(ask)
 
-    def released(self, release: Release) -> None:
+    def handle_release(self, release: Release) -> None:
         """Ends a grant, also one that comes with an offer."""
-        self.hand_overs.released(release)
-        self.granting.released(release)
+        self.hand_overs.handle_release(release)
+        self.grant_issuer.handle_release(release)
 
-    def moved(self) -> None:
+    def adopt_handed_over(self) -> None:
         """Acts on an ownership that was just handed to this instance, without a delay."""
-        self._claims.take_offered(monotonic())
+        self._claims.adopt_offered(monotonic())
 
     # What happens to owned engines --------------------------------------------------------------
 
-    def _begin(self, owned: Owned) -> None:
-        self.granting.start(owned)
+    def _on_owned(self, owned: OwnedEngine) -> None:
+        self.grant_issuer.start(owned)
         self.orders.start(owned)
 
-    def _end(self, owned: Owned) -> None:
+    def _on_dropped(self, owned: OwnedEngine) -> None:
         now = monotonic()
         for decided in owned.scheduler.close(now):
             assert isinstance(decided, Refuse)
-            self.granting.answer(owned, decided, now)
+            self.grant_issuer.send_decision(owned, decided, now)
 
-    def _given(self, moved: Moved) -> None:
-        self.granting.moved[moved.engine] = moved
+    def _on_handed_over(self, moved: Moved) -> None:
+        self.grant_issuer.handed_over[moved.engine] = moved
         for name in [self._ctx.opts.instance, *self._ctx.fleet.peers]:
             self._ctx.send(name, moved)
 
-    def _fenced(self, engine: str) -> None:
+    def _on_fenced(self, engine: str) -> None:
         owned = self._ctx.owned.get(engine)
         if owned is not None:
-            owned.start(self._claims.reread(engine))
+            owned.start(self._claims.refresh_owner(engine))
 
 
 def _is_draining(peer: Peer) -> bool:
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/peers.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/peers.py
@@ -17,8 +17,8 @@
 
 from wigeonarch_entry.metrics import Metrics
 
-QUEUE_BOUND: Final = 10_000
-MESSAGE_BOUND: Final = 1 << 20
+MAX_QUEUED_MESSAGES: Final = 10_000
+MAX_MESSAGE_BYTES: Final = 1 << 20
 
 
 class Peers:
@@ -41,8 +41,8 @@
         self._links: dict[str, tuple[str, zmq.asyncio.Socket]] = {}
         self._router: zmq.asyncio.Socket = self._context.socket(zmq.ROUTER)
         self._router.setsockopt(zmq.LINGER, 0)
-        self._router.setsockopt(zmq.RCVHWM, QUEUE_BOUND)
-        self._router.setsockopt(zmq.MAXMSGSIZE, MESSAGE_BOUND)
+        self._router.setsockopt(zmq.RCVHWM, MAX_QUEUED_MESSAGES)
+        self._router.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
         self._router.bind(f"tcp://{address}")
 
     async def receive(self) -> None:
@@ -65,7 +65,7 @@
         self.disconnect(name)
         link: zmq.asyncio.Socket = self._context.socket(zmq.DEALER)
         link.setsockopt(zmq.LINGER, 0)
-        link.setsockopt(zmq.SNDHWM, QUEUE_BOUND)
+        link.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
         # A connection that went silent is closed and opened anew by the library's own heartbeat.
         link.setsockopt(zmq.HEARTBEAT_IVL, 500)
         link.setsockopt(zmq.HEARTBEAT_TIMEOUT, 1500)
@@ -84,7 +84,7 @@
         """Sends a message; False when it was dropped at once."""
         known = self._links.get(name)
         if known is None:
-            self._metrics.dropped.inc()
+            self._metrics.peer_messages_dropped.inc()
             return False
         frame = encode(message)
         self._metrics.peer_messages.labels("out").inc()
@@ -93,7 +93,7 @@
             # The shadowed blocking socket sends at once or raises; no future is made.
             zmq.Socket.shadow(known[1]).send(frame, zmq.NOBLOCK)
         except zmq.Again:
-            self._metrics.dropped.inc()
+            self._metrics.peer_messages_dropped.inc()
             return False
         return True
 
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/platform.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/platform.py
@@ -14,7 +14,7 @@
 import aiohttp
 import msgspec
 from wigeonarch_core.listing import Listed
-from wigeonarch_core.serving_right import Reach
+from wigeonarch_core.serving_right import PlatformReachability
 from wigeonarch_runtime.clock import monotonic
 
 from wigeonarch_entry.metrics import Metrics
@@ -58,7 +58,7 @@
 class Unavailable:
     """No usable answer; `maybe` tells whether a write may have taken effect all the same."""
 
-    maybe: bool
+    may_have_written: bool
     detail: str
 
 
@@ -87,14 +87,14 @@
 WriteResult = Written | Conflict | Unavailable
 
 
-class Platform:
+class PlatformClient:
     """Calls to the platform on behalf of one instance.
 
     Attributes:
         reach: Whether it has been answering.
     """
 
-    __slots__ = ("_addresses", "_metrics", "_session", "_timeout", "_turn", "reach")
+    __slots__ = ("_address_index", "_addresses", "_metrics", "_session", "_timeout", "reachability")
 
     def __init__(
         self,
@@ -103,14 +103,14 @@
         zone: str,
         timeout: float,
         metrics: Metrics,
-        reach: Reach,
+        reach: PlatformReachability,
         source: str = "",
     ) -> None:
         """Makes the client; `source` is the IP that connections come from, if it matters."""
         self._addresses = addresses
-        self._turn = 0
+        self._address_index = 0
         self._metrics = metrics
-        self.reach = reach
+        self.reachability = reach
         self._timeout = aiohttp.ClientTimeout(total=timeout)
         self._session = aiohttp.ClientSession(
             headers={INSTANCE_HEADER: instance, ZONE_HEADER: zone},
@@ -159,7 +159,7 @@
         headers = {"If-Match": f'"{version}"'}
         return _write_result(await self._call("delete", "DELETE", path, None, headers))
 
-    async def instances(self) -> tuple[Listed, ...] | Unavailable:
+    async def list_instances(self) -> tuple[Listed, ...] | Unavailable:
         """Reads the lagging list of instances."""
         reply = await self._call("instances", "GET", "/v1/instances")
         if isinstance(reply, Unavailable):
@@ -195,7 +195,7 @@
                     yield Unavailable(False, f"status {resp.status}")
                     return
                 async for line in resp.content:
-                    self.reach.answered(monotonic())
+                    self.reachability.record_answer(monotonic())
                     self._metrics.control_bytes.labels("platform", "in").inc(len(line))
                     yield _watch_event(json.loads(line))
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as exc:
@@ -228,29 +228,29 @@
                 text = await resp.read()
                 status = resp.status
         except aiohttp.ClientConnectorError as exc:
-            self._failed(call, "unreachable")
+            self._record_failure(call, "unreachable")
             return Unavailable(False, repr(exc))
         except (aiohttp.ClientError, TimeoutError, OSError) as exc:
-            self._failed(call, "lost")
+            self._record_failure(call, "lost")
             return Unavailable(True, repr(exc))
         self._metrics.platform_calls.labels(call, str(status)).inc()
         self._metrics.control_bytes.labels("platform", "out").inc(len(body or b""))
         self._metrics.control_bytes.labels("platform", "in").inc(len(text))
         if status in (_OK, _NOT_FOUND, _PRECONDITION_FAILED):
-            self.reach.answered(monotonic())
+            self.reachability.record_answer(monotonic())
             return status, json.loads(text)
         self._next_address()
         return Unavailable(status >= 500, f"status {status}")
 
-    def _failed(self, call: str, result: str) -> None:
+    def _record_failure(self, call: str, result: str) -> None:
         self._metrics.platform_calls.labels(call, result).inc()
         self._next_address()
 
     def _address(self) -> str:
-        return self._addresses[self._turn % len(self._addresses)]
+        return self._addresses[self._address_index % len(self._addresses)]
 
     def _next_address(self) -> None:
-        self._turn += 1
+        self._address_index += 1
 
 
 def _write_result(reply: tuple[int, Any] | Unavailable) -> WriteResult:
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/reading.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/reading.py
@@ -20,26 +20,26 @@
 from wigeonarch_core.retry import full_jitter
 from wigeonarch_runtime.clock import monotonic
 
-from wigeonarch_entry.attempts import NO_ENDPOINT_RETRY, Mishap, Progress
-from wigeonarch_entry.engines import Broken, Chunk, Engines, Generation
+from wigeonarch_entry.attempts import NO_ENDPOINT_RETRY, FailedAttempt, Progress
+from wigeonarch_entry.engines import Chunk, EngineClient, Generation, StreamBroken
 from wigeonarch_entry.journal import Journal
 from wigeonarch_entry.metrics import Metrics
-from wigeonarch_entry.requests import Request, Show
+from wigeonarch_entry.requests import Request, SendText
 
 # For how many times the silence bound a stream is resumed without one new chunk.
-PATIENCE: Final = 3
-PAUSE_LEAST: Final = 0.02
-PAUSE_MOST: Final = 0.5
+RESUME_WINDOW_FACTOR: Final = 3
+MIN_RESUME_PAUSE: Final = 0.02
+MAX_RESUME_PAUSE: Final = 0.5
 _RESUMABLE: Final = frozenset({Event.LOST, Event.SILENT})
-_ENDED: Final[dict[str, tuple[Event, Reason]]] = {
+_FINISH_FAILURES: Final[dict[str, tuple[Event, Reason]]] = {
     # The engine cancels a generation at its deadline, a moment before this instance may notice.
     "cancelled": (Event.DEADLINE, Reason.DEADLINE),
 }
-_FAILED: Final = (Event.ERROR, Reason.ENDPOINT_ERROR)
+_OTHER_FAILURE: Final = (Event.ERROR, Reason.ENDPOINT_ERROR)
 
 
 @dataclass(slots=True)
-class _Tally:
+class _PartialAnswer:
     """The part of an answer that has come."""
 
     texts: list[str] = field(default_factory=list)
@@ -48,19 +48,28 @@
     finish: str = ""
 
 
-class Reading:
+class AnswerReader:
     """The reading of one dispatch's answer."""
 
-    __slots__ = ("_engines", "_journal", "_metrics", "_progress", "_req", "_rng", "_show", "_tally")
+    __slots__ = (
+        "_answer",
+        "_engines",
+        "_journal",
+        "_metrics",
+        "_progress",
+        "_req",
+        "_rng",
+        "_send_text",
+    )
 
     def __init__(
         self,
-        engines: Engines,
+        engines: EngineClient,
         journal: Journal,
         metrics: Metrics,
         req: Request,
         progress: Progress,
-        show: Show | None,
+        show: SendText | None,
         rng: random.Random,
     ) -> None:
         self._engines = engines
@@ -68,61 +77,65 @@
         self._metrics = metrics
         self._req = req
         self._progress = progress
-        self._show = show
+        self._send_text = show
         self._rng = rng
-        self._tally = _Tally()
+        self._answer = _PartialAnswer()
 
     async def run(
         self, address: str, gen: Generation, timing: Timing, usable: Callable[[], bool]
-    ) -> Outcome | Mishap:
+    ) -> Outcome | FailedAttempt:
         """Starts a generation, while its grant is `usable`, and reads its answer."""
         stream = self._engines.generate(
             address, gen, timing.first_token_timeout, timing.token_timeout, usable
         )
-        broken = await self._drain(stream)
+        broken = await self._read_stream(stream)
         if broken is not None and broken.event is Event.CONNECT_FAILED:
-            return Mishap(Phase.QUEUED, broken.event, broken.reason, NO_ENDPOINT_RETRY)
+            return FailedAttempt(Phase.QUEUED, broken.event, broken.reason, NO_ENDPOINT_RETRY)
         cause = broken
         if broken is not None:
             broken = await self._resume(broken, address, gen, timing.token_timeout)
         if cause is None or broken is None:
-            return self._whole()
+            return self._outcome()
         # What a failed resume says about itself says nothing about whether the request ran.
         told = broken if broken.event is Event.MISMATCH else cause
-        phase = Phase.RUNNING if self._tally.next_seq else Phase.SENT
-        return Mishap(phase, told.event, told.reason, NO_ENDPOINT_RETRY)
+        phase = Phase.RUNNING if self._answer.next_seq else Phase.SENT
+        return FailedAttempt(phase, told.event, told.reason, NO_ENDPOINT_RETRY)
 
     async def _resume(
-        self, broken: Broken, address: str, gen: Generation, silence: float
-    ) -> Broken | None:
+        self, broken: StreamBroken, address: str, gen: Generation, silence: float
+    ) -> StreamBroken | None:
         """Resumes a broken stream until it ends well, or no chunk comes for too long."""
-        latest: Broken | None = broken
+        latest: StreamBroken | None = broken
         fruitless = 0
-        until = monotonic() + PATIENCE * silence
+        until = monotonic() + RESUME_WINDOW_FACTOR * silence
         while latest is not None and self._may_resume(latest) and monotonic() < until:
-            begun = self._tally.next_seq
+            begun = self._answer.next_seq
             self._metrics.resumes.labels(latest.reason).inc()
             self._journal.note(self._req.id, "resume", latest.reason, f"from {begun}")
-            latest = await self._drain(self._engines.resume(address, gen, begun, silence))
-            if self._tally.next_seq > begun:
+            latest = await self._read_stream(self._engines.resume(address, gen, begun, silence))
+            if self._answer.next_seq > begun:
                 fruitless = 0
-                until = monotonic() + PATIENCE * silence
+                until = monotonic() + RESUME_WINDOW_FACTOR * silence
                 continue
             fruitless += 1
-            await asyncio.sleep(full_jitter(fruitless, PAUSE_LEAST, PAUSE_MOST, self._rng))
+            await asyncio.sleep(
+                full_jitter(fruitless, MIN_RESUME_PAUSE, MAX_RESUME_PAUSE, self._rng)
+            )
         return latest
 
-    def _may_resume(self, broken: Broken) -> bool:
+    def _may_resume(self, broken: StreamBroken) -> bool:
         if broken.event is Event.CONNECT_FAILED:
-            return self._progress.shown or not self._req.idempotent
+            return self._progress.streamed or not self._req.idempotent
         return broken.event in _RESUMABLE
 
-    async def _drain(self, stream: AsyncIterator[Chunk | Broken]) -> Broken | None:
+    async def _read_stream(
+        self, stream: AsyncIterator[Chunk | StreamBroken]
+    ) -> StreamBroken | None:
         """Reads one stream to its end; returns how it broke, if it did."""
-        tally = self._tally
+        tally = self._answer
         last = self._req.received
         async for item in stream:
-            if isinstance(item, Broken):
+            if isinstance(item, StreamBroken):
                 return item
             now = monotonic()
             timer = self._metrics.between_tokens if tally.next_seq else self._metrics.first_token
@@ -132,14 +145,14 @@
             tally.tokens += item.tokens
             tally.texts.append(item.text)
             tally.finish = item.finish
-            if self._show is not None and item.text:
-                self._progress.shown = True
-                await self._show(item.text)
+            if self._send_text is not None and item.text:
+                self._progress.streamed = True
+                await self._send_text(item.text)
         return None
 
-    def _whole(self) -> Outcome | Mishap:
-        tally = self._tally
+    def _outcome(self) -> Outcome | FailedAttempt:
+        tally = self._answer
         if tally.finish in ("stop", "length"):
             return Answered("".join(tally.texts), tally.tokens, tally.finish)
-        event, reason = _ENDED.get(tally.finish, _FAILED)
-        return Mishap(Phase.RUNNING, event, reason)
+        event, reason = _FINISH_FAILURES.get(tally.finish, _OTHER_FAILURE)
+        return FailedAttempt(Phase.RUNNING, event, reason)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/refusals.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/refusals.py
@@ -12,7 +12,7 @@
 from wigeonarch_entry.journal import Journal
 from wigeonarch_entry.metrics import Metrics
 
-STEP: Final = "intake"
+INTAKE_STEP: Final = "intake"
 
 
 class Refusals:
@@ -24,14 +24,14 @@
         self._journal = journal
         self._metrics = metrics
 
-    def note(self, door: str, outcome: NotRun) -> str:
+    def record(self, door: str, outcome: NotRun) -> str:
         """Notes a refusal; returns the id that its caller is told."""
         request = uuid.uuid4().hex
         self._metrics.requests.labels("notrun").inc()
         self._metrics.refusals.labels(outcome.reason).inc()
         self._journal.open(request, monotonic())
-        self._journal.note(request, STEP, outcome.reason, outcome.detail)
-        self._journal.close(request, outcome)
+        self._journal.note(request, INTAKE_STEP, outcome.reason, outcome.detail)
+        self._journal.set_outcome(request, outcome)
         log(
             "request_refused",
             request=request,
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/requests.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/requests.py
@@ -7,7 +7,7 @@
 
 from wigeonarch_core.refs import AdapterVersion
 
-Show = Callable[[str], Awaitable[None]]
+SendText = Callable[[str], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/rpcparts.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/rpccommon.py
@@ -14,9 +14,9 @@
 
 from wigeonarch_entry.configuration import Configuration
 from wigeonarch_entry.dispatch import Dispatcher
-from wigeonarch_entry.engines import Engines
+from wigeonarch_entry.engines import EngineClient
 from wigeonarch_entry.journal import Journal
-from wigeonarch_entry.keys import Keys
+from wigeonarch_entry.keys import IdempotencyKeys
 from wigeonarch_entry.membership import Membership
 from wigeonarch_entry.refusals import Refusals
 
@@ -24,18 +24,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class Dependencies:
     """What the RPC door passes calls on to."""
 
     opts: Options
     membership: Membership
     configuration: Configuration
     dispatcher: Dispatcher
-    engines: Engines
+    engines: EngineClient
     journal: Journal
-    keys: Keys
+    keys: IdempotencyKeys
     refusals: Refusals
-    refusal: Callable[[], Reason | None]
+    refusal_reason: Callable[[], Reason | None]
     drain: Callable[[], None]
 
     @property
@@ -55,6 +55,6 @@
     raise AssertionError("abort raises")
 
 
-async def malformed(context: Context, message: str) -> NoReturn:
+async def abort_malformed(context: Context, message: str) -> NoReturn:
     """Ends a call whose message is malformed; nothing was done."""
     await abort(context, grpc.StatusCode.INVALID_ARGUMENT, message)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/rpcfleet.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/rpcfleet.py
@@ -10,31 +10,31 @@
 from wigeonarch_schema import wigeonarch_pb2_grpc as rpc
 
 from wigeonarch_entry.enginestatus import engine_statuses
-from wigeonarch_entry.rpcparts import Context, Parts, abort
+from wigeonarch_entry.rpccommon import Context, Dependencies, abort
 
 
-class FleetCalls(rpc.FleetServicer):
+class FleetServicer(rpc.FleetServicer):
     """The service `Fleet`."""
 
-    def __init__(self, parts: Parts) -> None:
-        self._parts = parts
+    def __init__(self, parts: Dependencies) -> None:
+        self._deps = parts
 
     async def Status(self, request: pb.StatusRequest, context: Context) -> pb.StatusReply:
         """Tells the state of the fleet as this instance sees it."""
-        parts = self._parts
+        parts = self._deps
         bound = parts.opts.timing.connect_timeout
         engines = await engine_statuses(parts.fleet, parts.engines, bound)
-        instances = sorted([self._me(), *self._others()], key=lambda each: each.name)
-        return pb.StatusReply(instances=instances, engines=engines, zones=_zones(instances))
+        instances = sorted([self._own_status(), *self._peer_statuses()], key=lambda each: each.name)
+        return pb.StatusReply(instances=instances, engines=engines, zones=_zone_configs(instances))
 
     async def Drain(self, request: pb.DrainRequest, context: Context) -> pb.DrainReply:
         """Begins the graceful shutdown of this instance, or passes the order on."""
-        me = self._parts.opts.instance
+        me = self._deps.opts.instance
         if request.instance in ("", me):
-            self._parts.drain()
-            remaining = self._parts.dispatcher.in_progress
+            self._deps.drain()
+            remaining = self._deps.dispatcher.in_progress
             return pb.DrainReply(instance=me, draining=True, remaining=remaining)
-        peer = self._parts.fleet.peers.get(request.instance)
+        peer = self._deps.fleet.peers.get(request.instance)
         if peer is None:
             await abort(context, grpc.StatusCode.NOT_FOUND, f"no instance {request.instance}")
         async with grpc.aio.insecure_channel(peer.record.rpc) as channel:
@@ -45,23 +45,23 @@
                 await abort(context, grpc.StatusCode.UNAVAILABLE, exc.details() or "unreachable")
             return reply
 
-    def _me(self) -> pb.InstanceStatus:
-        membership = self._parts.membership
-        held = membership.lease.holds(monotonic())
+    def _own_status(self) -> pb.InstanceStatus:
+        membership = self._deps.membership
+        held = membership.lease.is_valid(monotonic())
         return pb.InstanceStatus(
-            name=self._parts.opts.instance,
-            zone=self._parts.opts.zone,
-            ready=self._parts.refusal() is None,
+            name=self._deps.opts.instance,
+            zone=self._deps.opts.zone,
+            ready=self._deps.refusal_reason() is None,
             draining=membership.draining,
-            applied_change=self._parts.catalogue.applied,
+            applied_change=self._deps.catalogue.applied,
             lease="held" if held else "lapsed",
         )
 
-    def _others(self) -> list[pb.InstanceStatus]:
+    def _peer_statuses(self) -> list[pb.InstanceStatus]:
         now = monotonic()
         others = []
-        for name, peer in self._parts.fleet.peers.items():
-            lapsed = peer.lease.lapsed(now)
+        for name, peer in self._deps.fleet.peers.items():
+            lapsed = peer.lease.has_lapsed(now)
             beat = peer.heartbeat
             others.append(
                 pb.InstanceStatus(
@@ -76,7 +76,7 @@
         return others
 
 
-def _zones(instances: list[pb.InstanceStatus]) -> list[pb.ZoneConfig]:
+def _zone_configs(instances: list[pb.InstanceStatus]) -> list[pb.ZoneConfig]:
     applied: dict[str, list[int]] = {}
     for each in instances:
         applied.setdefault(each.zone, []).append(each.applied_change)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/rpcrequests.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/rpcrequests.py
@@ -12,26 +12,26 @@
 from wigeonarch_schema import wigeonarch_pb2_grpc as rpc
 
 from wigeonarch_entry import wire
-from wigeonarch_entry.intake import Terms, take_call, take_generate
+from wigeonarch_entry.intake import Terms, make_call_request, make_generate_request
 from wigeonarch_entry.platform import Unavailable
 from wigeonarch_entry.requests import Request
-from wigeonarch_entry.rpcparts import Context, Parts, abort, malformed
-from wigeonarch_entry.texts import NOT_READING
+from wigeonarch_entry.rpccommon import Context, Dependencies, abort, abort_malformed
+from wigeonarch_entry.texts import CALLER_NOT_READING
 
 
-class RequestCalls(rpc.RequestsServicer):
+class RequestsServicer(rpc.RequestsServicer):
     """The service `Requests`."""
 
-    def __init__(self, parts: Parts) -> None:
-        self._parts = parts
+    def __init__(self, parts: Dependencies) -> None:
+        self._deps = parts
 
     async def Submit(self, request: pb.SubmitRequest, context: Context) -> pb.SubmitReply:
         """Runs a request and returns its outcome."""
-        req = await self._take(request, context)
+        req = await self._make_request(request, context)
         if isinstance(req, NotRun):
-            return self._refused(req)
-        outcome = await self._parts.dispatcher.run(req)
-        return wire.outcome_to(req, req.id, outcome)
+            return self._refuse(req)
+        outcome = await self._deps.dispatcher.run(req)
+        return wire.encode_outcome(req, req.id, outcome)
 
     async def SubmitStream(  # type: ignore[override]
         self, request: pb.SubmitRequest, context: Context
@@ -41,9 +41,9 @@
         Events are written from here, not yielded: a caller that goes then cancels this coroutine at
         once, and with it the request, while a generator would wait to be collected.
         """
-        req = await self._take(request, context)
+        req = await self._make_request(request, context)
         if isinstance(req, NotRun):
-            await context.write(pb.SubmitEvent(end=self._refused(req)))
+            await context.write(pb.SubmitEvent(end=self._refuse(req)))
             return
         seq = 0
 
@@ -52,17 +52,17 @@
             chunk = pb.TextChunk(seq=seq, text=text)
             seq += 1
             try:
-                async with asyncio.timeout(self._parts.opts.timing.write_timeout):
+                async with asyncio.timeout(self._deps.opts.timing.write_timeout):
                     await context.write(pb.SubmitEvent(chunk=chunk))
             except TimeoutError as exc:
                 # Not a timeout of the request, for which the dispatcher would take it.
-                raise ConnectionAbortedError(NOT_READING) from exc
+                raise ConnectionAbortedError(CALLER_NOT_READING) from exc
 
         try:
-            outcome = await self._parts.dispatcher.run(req, show)
+            outcome = await self._deps.dispatcher.run(req, show)
         except ConnectionAbortedError:
-            await abort(context, grpc.StatusCode.DEADLINE_EXCEEDED, NOT_READING)
-        end = wire.outcome_to(req, req.id, outcome)
+            await abort(context, grpc.StatusCode.DEADLINE_EXCEEDED, CALLER_NOT_READING)
+        end = wire.encode_outcome(req, req.id, outcome)
         # The chunks have carried the text of a generation.
         end.text = "" if seq else end.text
         await context.write(pb.SubmitEvent(end=end))
@@ -71,11 +71,11 @@
         """Tells what is known of a request."""
         key = request.WhichOneof("key")
         if key is None:
-            await malformed(context, "request_id or service_key is needed")
+            await abort_malformed(context, "request_id or service_key is needed")
         if key == "request_id":
-            return self._by_id(request.request_id)
+            return self._lookup_by_id(request.request_id)
         named = request.service_key
-        record = await self._parts.keys.lookup(named.service, named.idempotency_key)
+        record = await self._deps.keys.lookup(named.service, named.idempotency_key)
         if isinstance(record, Unavailable):
             await abort(context, grpc.StatusCode.UNAVAILABLE, "the records cannot be read now")
         if record is None:
@@ -84,13 +84,13 @@
         ended = record.state != KeyState.HELD
         if ended:
             # "Not run" is a promise, so what this version cannot read is unknown.
-            reply.outcome = _OUTCOME_NAMES.get(record.outcome, pb.OUTCOME_UNKNOWN)
+            reply.outcome = _OUTCOMES_BY_NAME.get(record.outcome, pb.OUTCOME_UNKNOWN)
         state = pb.REQUEST_STATE_ENDED if ended else pb.REQUEST_STATE_RUNNING
         return pb.LookupReply(state=state, reply=reply, instance=record.instance)
 
     async def Explain(self, request: pb.ExplainRequest, context: Context) -> pb.ExplainReply:
         """Tells the decisions about a request."""
-        entry = self._parts.journal.get(request.request_id)
+        entry = self._deps.journal.get(request.request_id)
         if entry is None:
             await abort(context, grpc.StatusCode.NOT_FOUND, "this instance does not know it")
         decisions = [
@@ -99,11 +99,11 @@
         ]
         return pb.ExplainReply(decisions=decisions)
 
-    async def _take(self, msg: pb.SubmitRequest, context: Context) -> Request | NotRun:
+    async def _make_request(self, msg: pb.SubmitRequest, context: Context) -> Request | NotRun:
         work = msg.WhichOneof("work")
         if work is None or not msg.model:
-            await malformed(context, "model and work are needed")
-        blocked = self._parts.refusal()
+            await abort_malformed(context, "model and work are needed")
+        blocked = self._deps.refusal_reason()
         if blocked is not None:
             return NotRun(blocked, 1.0)
         terms = Terms(
@@ -113,27 +113,29 @@
             key=msg.idempotency_key,
             deadline_ms=msg.deadline_ms,
         )
-        opts, catalogue = self._parts.opts, self._parts.catalogue
+        opts, catalogue = self._deps.opts, self._deps.catalogue
         if work == "generate":
             gen = msg.generate
-            return take_generate(opts, catalogue, msg.model, gen.prompt, gen.max_tokens, terms)
+            return make_generate_request(
+                opts, catalogue, msg.model, gen.prompt, gen.max_tokens, terms
+            )
         body = (msg.call.body or "{}").encode()
-        return take_call(opts, catalogue, msg.model, msg.call.operation, body, terms)
+        return make_call_request(opts, catalogue, msg.model, msg.call.operation, body, terms)
 
-    def _refused(self, outcome: NotRun) -> pb.SubmitReply:
-        request = self._parts.refusals.note("rpc", outcome)
-        return wire.outcome_to(None, request, outcome)
+    def _refuse(self, outcome: NotRun) -> pb.SubmitReply:
+        request = self._deps.refusals.record("rpc", outcome)
+        return wire.encode_outcome(None, request, outcome)
 
-    def _by_id(self, request_id: str) -> pb.LookupReply:
-        entry = self._parts.journal.get(request_id)
+    def _lookup_by_id(self, request_id: str) -> pb.LookupReply:
+        entry = self._deps.journal.get(request_id)
         if entry is None:
             return pb.LookupReply(state=pb.REQUEST_STATE_NOT_KNOWN)
-        instance = self._parts.opts.instance
+        instance = self._deps.opts.instance
         if entry.outcome is None:
             reply = pb.SubmitReply(request_id=request_id)
             return pb.LookupReply(state=pb.REQUEST_STATE_RUNNING, reply=reply, instance=instance)
-        reply = wire.outcome_to(None, request_id, entry.outcome)
+        reply = wire.encode_outcome(None, request_id, entry.outcome)
         return pb.LookupReply(state=pb.REQUEST_STATE_ENDED, reply=reply, instance=instance)
 
 
-_OUTCOME_NAMES: Final = {kind.__name__: value for kind, value in wire.OUTCOMES.items()}
+_OUTCOMES_BY_NAME: Final = {kind.__name__: value for kind, value in wire.OUTCOMES.items()}
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/rpcdoor.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/rpcserver.py
@@ -5,18 +5,18 @@
 import grpc
 from wigeonarch_schema import wigeonarch_pb2_grpc as rpc
 
-from wigeonarch_entry.rpccatalogue import CatalogueCalls
-from wigeonarch_entry.rpcfleet import FleetCalls
-from wigeonarch_entry.rpcparts import Parts
-from wigeonarch_entry.rpcrequests import RequestCalls
+from wigeonarch_entry.rpccatalogue import CatalogueServicer
+from wigeonarch_entry.rpccommon import Dependencies
+from wigeonarch_entry.rpcfleet import FleetServicer
+from wigeonarch_entry.rpcrequests import RequestsServicer
 
 
-class RpcDoor:
+class RpcServer:
     """The server of the RPC door."""
 
     __slots__ = ("_server",)
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: Dependencies) -> None:
         limits = parts.opts.limits
         self._server = grpc.aio.server(
             options=[
@@ -25,15 +25,15 @@
                 ("grpc.so_reuseport", 0),
             ]
         )
-        rpc.add_CatalogueServicer_to_server(CatalogueCalls(parts), self._server)
-        rpc.add_RequestsServicer_to_server(RequestCalls(parts), self._server)
-        rpc.add_FleetServicer_to_server(FleetCalls(parts), self._server)
+        rpc.add_CatalogueServicer_to_server(CatalogueServicer(parts), self._server)
+        rpc.add_RequestsServicer_to_server(RequestsServicer(parts), self._server)
+        rpc.add_FleetServicer_to_server(FleetServicer(parts), self._server)
         self._server.add_insecure_port(parts.opts.rpc)
 
-    async def open(self) -> None:
+    async def start(self) -> None:
         """Begins to listen."""
         await self._server.start()
 
-    async def close(self, grace: float) -> None:
+    async def stop(self, grace: float) -> None:
         """Stops listening; calls in progress get `grace` seconds to end."""
         await self._server.stop(grace)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/sending.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/sending.py
@@ -28,7 +28,7 @@
 
 
 @contextmanager
-def sent_only_if(usable: Callable[[], bool]) -> Iterator[None]:
+def send_only_if(usable: Callable[[], bool]) -> Iterator[None]:
     """Lets the calls made inside go out only if `usable` holds when they could be written."""
     token = _usable.set(usable)
     try:
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/services.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/services.py
@@ -16,7 +16,7 @@
 
 KEY_HEADER: Final = "Idempotency-Key"
 DISPATCH_HEADER: Final = "X-Dispatch"
-_DECLINES: Final = {
+_DECLINE_REASONS: Final = {
     "leaving": Reason.ENDPOINT_LEAVING,
     "overloaded": Reason.ENDPOINT_OVERLOADED,
 }
@@ -30,7 +30,7 @@
     operation: str
     body: bytes
     key: str
-    repeatable: bool
+    idempotent: bool
     remaining: float
 
 
@@ -50,31 +50,31 @@
     reason: Reason
 
 
-class Services:
+class ServiceClient:
     """Calls to plain services."""
 
-    __slots__ = ("_connect", "_fresh", "_pooled")
+    __slots__ = ("_connect_timeout", "_pooled", "_unpooled")
 
     def __init__(self, connect_timeout: float, source: str = "") -> None:
         """Makes the client; `source` is the IP that connections come from, if it matters."""
-        self._connect = connect_timeout
+        self._connect_timeout = connect_timeout
         local = (source, 0) if source else None
         self._pooled = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=5.0, local_addr=local)
         )
-        self._fresh = aiohttp.ClientSession(
+        self._unpooled = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True, local_addr=local)
         )
 
     async def close(self) -> None:
         """Closes all connections."""
         await self._pooled.close()
-        await self._fresh.close()
+        await self._unpooled.close()
 
     async def call(self, address: str, call: ServiceCall) -> ServiceReply | CallBroken:
         """Makes a call; returns the answer or what happened instead."""
-        session = self._pooled if call.repeatable else self._fresh
-        timeout = aiohttp.ClientTimeout(total=call.remaining, connect=self._connect)
+        session = self._pooled if call.idempotent else self._unpooled
+        timeout = aiohttp.ClientTimeout(total=call.remaining, connect=self._connect_timeout)
         headers = {DISPATCH_HEADER: call.dispatch, "Content-Type": "application/json"}
         if call.key:
             headers[KEY_HEADER] = call.key
@@ -92,7 +92,7 @@
 
 
 def _reply(resp: aiohttp.ClientResponse, body: bytes, dispatch: str) -> ServiceReply | CallBroken:
-    declined = _declined(resp.status, body)
+    declined = _decline_reason(resp.status, body)
     if declined is not None:
         return CallBroken(Event.DECLINED, declined)
     if resp.headers.get(DISPATCH_HEADER, dispatch) != dispatch:
@@ -100,11 +100,11 @@
     return ServiceReply(resp.status, body.decode("utf-8", "replace"))
 
 
-def _declined(status: int, body: bytes) -> Reason | None:
+def _decline_reason(status: int, body: bytes) -> Reason | None:
     if status != 503:
         return None
     try:
         doc = msgspec.json.decode(body, type=dict[str, dict[str, str]])
     except msgspec.DecodeError:
         return None
-    return _DECLINES.get(doc.get("error", {}).get("reason", ""))
+    return _DECLINE_REASONS.get(doc.get("error", {}).get("reason", ""))
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/snapshots.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/snapshots.py
@@ -16,14 +16,14 @@
     SnapshotHead,
     SnapshotPart,
     SnapshotRef,
-    announced,
-    decoded,
-    encoded,
-    finished,
+    announce,
+    decode,
+    encode,
+    finish,
+    first_kept_change,
     from_part,
     is_due,
-    kept_from,
-    newest,
+    newest_number,
     part_name,
     split,
     to_part,
@@ -31,12 +31,12 @@
 from wigeonarch_runtime.clock import monotonic
 from wigeonarch_runtime.logs import log
 
-from wigeonarch_entry.platform import Conflict, Found, Missing, Platform, Unavailable, Written
+from wigeonarch_entry.platform import Conflict, Found, Missing, PlatformClient, Unavailable, Written
 
-CHECK_PAUSE: Final = 5.0
+MEAN_CHECK_INTERVAL: Final = 5.0
 # A writer that has announced itself and not finished for so long has died.
-PATIENCE: Final = 60.0
-TRIM_PAGE: Final = 100
+PENDING_TIMEOUT: Final = 60.0
+TRIM_PAGE_SIZE: Final = 100
 TRIM_PAUSE: Final = 1.0
 
 
@@ -45,15 +45,15 @@
 
     __slots__ = ("_platform",)
 
-    def __init__(self, platform: Platform) -> None:
+    def __init__(self, platform: PlatformClient) -> None:
         self._platform = platform
 
-    async def newest(self) -> int | None:
+    async def newest_number(self) -> int | None:
         """Returns the number of the newest snapshot, 0 without one; None without an answer."""
-        found = await self.head()
-        return None if isinstance(found, Unavailable) else newest(found[1])
+        found = await self.read_head()
+        return None if isinstance(found, Unavailable) else newest_number(found[1])
 
-    async def head(self) -> tuple[int, SnapshotHead | None] | Unavailable:
+    async def read_head(self) -> tuple[int, SnapshotHead | None] | Unavailable:
         """Reads the head; returns its version, 0 when there is none."""
         found = await self._platform.get(SNAPSHOTS, HEAD)
         if isinstance(found, Unavailable):
@@ -64,7 +64,7 @@
 
     async def read(self) -> Snapshot | None:
         """Reads the newest snapshot; None when a part cannot be had, or there is no snapshot."""
-        head = await self.head()
+        head = await self.read_head()
         if isinstance(head, Unavailable) or head[1] is None or head[1].latest is None:
             return None
         ref = head[1].latest
@@ -75,56 +75,56 @@
                 log("snapshot_part_missing", "WARNING", number=ref.number, part=part)
                 return None
             pieces.append(from_part(msgspec.convert(found.value, SnapshotPart)))
-        return decoded(b"".join(pieces))
+        return decode(b"".join(pieces))
 
 
 class SnapshotWriter:
     """Writes a snapshot when enough changes have been applied, and trims the log."""
 
-    __slots__ = ("_every", "_platform", "_reader", "_replica", "_seen")
+    __slots__ = ("_changes_per_snapshot", "_observed_pending", "_platform", "_reader", "_replica")
 
-    def __init__(self, platform: Platform, replica: Replica, every: int) -> None:
+    def __init__(self, platform: PlatformClient, replica: Replica, every: int) -> None:
         self._platform = platform
         self._replica = replica
-        self._every = every
+        self._changes_per_snapshot = every
         self._reader = SnapshotReader(platform)
         # The pending snapshot of another writer, and when it was first seen.
-        self._seen: tuple[SnapshotRef, float] | None = None
+        self._observed_pending: tuple[SnapshotRef, float] | None = None
 
     async def run(self) -> None:
         """Writes snapshots until cancelled."""
         written = 0
         while True:
-            await asyncio.sleep(CHECK_PAUSE * random.uniform(0.5, 1.5))
+            await asyncio.sleep(MEAN_CHECK_INTERVAL * random.uniform(0.5, 1.5))
             applied = self._replica.catalogue.applied
             # Only a look at the number that the last look gave; the platform is asked when due.
-            if applied < written + self._every or self._replica.went_back:
+            if applied < written + self._changes_per_snapshot or self._replica.rolled_back:
                 continue
-            head = await self._reader.head()
+            head = await self._reader.read_head()
             if isinstance(head, Unavailable):
                 continue
             version, known = head
-            written = newest(known)
-            if is_due(known, applied, self._every) and self._may_write(known):
-                await self._write(version, known)
+            written = newest_number(known)
+            if is_due(known, applied, self._changes_per_snapshot) and self._may_write(known):
+                await self._write_snapshot(version, known)
 
     def _may_write(self, head: SnapshotHead | None) -> bool:
         """Tells whether no other writer is at work."""
         pending = head.pending if head else None
         if pending is None:
             return True
-        if self._seen is None or self._seen[0] != pending:
-            self._seen = (pending, monotonic())
-        return monotonic() - self._seen[1] > PATIENCE
+        if self._observed_pending is None or self._observed_pending[0] != pending:
+            self._observed_pending = (pending, monotonic())
+        return monotonic() - self._observed_pending[1] > PENDING_TIMEOUT
 
-    async def _write(self, version: int, head: SnapshotHead | None) -> None:
+    async def _write_snapshot(self, version: int, head: SnapshotHead | None) -> None:
         snapshot = self._replica.catalogue.snapshot()
-        announcement = announced(head, snapshot.applied, uuid.uuid4().hex)
-        announced_at = await self._put_head(announcement, version)
+        announcement = announce(head, snapshot.applied, uuid.uuid4().hex)
+        announced_at = await self._write_head(announcement, version)
         if announced_at is None or announcement.pending is None:
             return
         pieces = []
-        for piece in encoded(snapshot):
+        for piece in encode(snapshot):
             pieces.append(piece)
             await asyncio.sleep(0)  # Requests go on between the pieces.
         parts = split(b"".join(pieces))
@@ -134,16 +134,16 @@
             if isinstance(result, Unavailable):
                 log("snapshot_failed", "WARNING", number=snapshot.applied, detail=result.detail)
                 return
-        final = finished(announcement, len(parts))
-        if await self._put_head(final, announced_at) is None:
+        final = finish(announcement, len(parts))
+        if await self._write_head(final, announced_at) is None:
             return
         log("snapshot_written", number=snapshot.applied, parts=len(parts))
         if head is not None:
             await self._delete_parts(head.previous)
             await self._delete_parts(head.pending)
-        await self._trim(kept_from(final))
+        await self._trim_log(first_kept_change(final))
 
-    async def _put_head(self, head: SnapshotHead, version: int) -> int | None:
+    async def _write_head(self, head: SnapshotHead, version: int) -> int | None:
         """Writes the head if it is at a version; a lost answer is settled by reading it back."""
         if version:
             result = await self._platform.replace(SNAPSHOTS, HEAD, head, version)
@@ -151,8 +151,8 @@
             result = await self._platform.create(SNAPSHOTS, HEAD, head)
         if isinstance(result, Written):
             return result.version
-        if isinstance(result, Conflict) or result.maybe:
-            found = await self._reader.head()
+        if isinstance(result, Conflict) or result.may_have_written:
+            found = await self._reader.read_head()
             # The writer's nonce is in the head, so an equal head is this writer's own.
             if not isinstance(found, Unavailable) and found[1] == head:
                 return found[0]
@@ -168,15 +168,15 @@
             await self._platform.delete(SNAPSHOTS, found.name, found.version)
             part += 1
 
-    async def _trim(self, kept: int) -> None:
+    async def _trim_log(self, kept: int) -> None:
         """Deletes the elements of the log before `kept`, a page at a time."""
         while True:
-            page = await self._platform.list(CHANGES, "", TRIM_PAGE)
+            page = await self._platform.list(CHANGES, "", TRIM_PAGE_SIZE)
             if isinstance(page, Unavailable):
                 return
             old = [item for item in page.items if item.name < change_name(kept)]
             for item in old:
                 await self._platform.delete(CHANGES, item.name, item.version)
-            if len(old) < TRIM_PAGE:
+            if len(old) < TRIM_PAGE_SIZE:
                 return
             await asyncio.sleep(TRIM_PAUSE)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/statuses.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/statuses.py
@@ -14,8 +14,8 @@
 
 BAD_GATEWAY: Final = 502
 RAN_AND_FAILED: Final = 500
-TOO_MANY: Final = 429
-UNAVAILABLE: Final = 503
+TOO_MANY_REQUESTS: Final = 429
+SERVICE_UNAVAILABLE: Final = 503
 
 NOT_RUN_STATUS: Final[dict[Reason, int]] = {
     # The caller's mistakes: repeating the same request changes nothing.
@@ -29,40 +29,40 @@
     Reason.KEY_MISMATCH: 422,
     Reason.ANSWER_NOT_KEPT: 409,
     # Limits that this caller's own load has met.
-    Reason.QUEUE_FULL: TOO_MANY,
-    Reason.FAIR_SHARE: TOO_MANY,
-    Reason.CONCURRENCY: TOO_MANY,
+    Reason.QUEUE_FULL: TOO_MANY_REQUESTS,
+    Reason.FAIR_SHARE: TOO_MANY_REQUESTS,
+    Reason.CONCURRENCY: TOO_MANY_REQUESTS,
     # The state of the deployment.
-    Reason.DEADLINE: UNAVAILABLE,
-    Reason.RETRY_BUDGET: UNAVAILABLE,
-    Reason.CIRCUIT_OPEN: UNAVAILABLE,
-    Reason.NOT_READY: UNAVAILABLE,
-    Reason.NO_CONFIGURATION: UNAVAILABLE,
-    Reason.NOT_CAUGHT_UP: UNAVAILABLE,
-    Reason.CUT_OFF: UNAVAILABLE,
-    Reason.NOT_LEASED: UNAVAILABLE,
-    Reason.DRAINING: UNAVAILABLE,
-    Reason.NO_ENDPOINT: UNAVAILABLE,
-    Reason.NO_OWNER: UNAVAILABLE,
-    Reason.PLATFORM_DOWN: UNAVAILABLE,
-    Reason.LOAD_FAILED: UNAVAILABLE,
-    Reason.LEASE_LOST: UNAVAILABLE,
-    Reason.ENDPOINT_LEAVING: UNAVAILABLE,
-    Reason.ENDPOINT_OVERLOADED: UNAVAILABLE,
-    Reason.NOT_LOADED: UNAVAILABLE,
-    Reason.UNREACHABLE: UNAVAILABLE,
-    Reason.CONNECTION_LOST: UNAVAILABLE,
-    Reason.SILENT: UNAVAILABLE,
-    Reason.WRONG_ADAPTER: UNAVAILABLE,
-    Reason.ENDPOINT_ERROR: UNAVAILABLE,
-    Reason.CANCELLED: UNAVAILABLE,
+    Reason.DEADLINE: SERVICE_UNAVAILABLE,
+    Reason.RETRY_BUDGET: SERVICE_UNAVAILABLE,
+    Reason.CIRCUIT_OPEN: SERVICE_UNAVAILABLE,
+    Reason.NOT_READY: SERVICE_UNAVAILABLE,
+    Reason.NO_CONFIGURATION: SERVICE_UNAVAILABLE,
+    Reason.NOT_CAUGHT_UP: SERVICE_UNAVAILABLE,
+    Reason.CUT_OFF: SERVICE_UNAVAILABLE,
+    Reason.NOT_LEASED: SERVICE_UNAVAILABLE,
+    Reason.DRAINING: SERVICE_UNAVAILABLE,
+    Reason.NO_ENDPOINT: SERVICE_UNAVAILABLE,
+    Reason.NO_OWNER: SERVICE_UNAVAILABLE,
+    Reason.PLATFORM_DOWN: SERVICE_UNAVAILABLE,
+    Reason.LOAD_FAILED: SERVICE_UNAVAILABLE,
+    Reason.LEASE_LOST: SERVICE_UNAVAILABLE,
+    Reason.ENDPOINT_LEAVING: SERVICE_UNAVAILABLE,
+    Reason.ENDPOINT_OVERLOADED: SERVICE_UNAVAILABLE,
+    Reason.NOT_LOADED: SERVICE_UNAVAILABLE,
+    Reason.UNREACHABLE: SERVICE_UNAVAILABLE,
+    Reason.CONNECTION_LOST: SERVICE_UNAVAILABLE,
+    Reason.SILENT: SERVICE_UNAVAILABLE,
+    Reason.WRONG_ADAPTER: SERVICE_UNAVAILABLE,
+    Reason.ENDPOINT_ERROR: SERVICE_UNAVAILABLE,
+    Reason.CANCELLED: SERVICE_UNAVAILABLE,
 }
 
 # Statuses that tell a caller when to come back.
-RETRIABLE: Final = frozenset({TOO_MANY, UNAVAILABLE})
+RETRY_AFTER_STATUSES: Final = frozenset({TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE})
 
 # Statuses that mean something else here than "the endpoint ran it and failed".
-_TAKEN: Final = frozenset({TOO_MANY, BAD_GATEWAY, UNAVAILABLE})
+_RESERVED_STATUSES: Final = frozenset({TOO_MANY_REQUESTS, BAD_GATEWAY, SERVICE_UNAVAILABLE})
 
 OUTCOME_NAMES: Final[dict[type[Outcome], str]] = {
     Answered: "answered",
@@ -82,4 +82,4 @@
         case Unknown():
             return BAD_GATEWAY
         case Failed(status=status):
-            return RAN_AND_FAILED if status in _TAKEN or not status else status
+            return RAN_AND_FAILED if status in _RESERVED_STATUSES or not status else status
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/support.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/support.py
@@ -19,84 +19,92 @@
 
 from wigeonarch_entry.membership import Membership
 from wigeonarch_entry.owned import Send
-from wigeonarch_entry.platform import Conflict, Found, Platform, Written
+from wigeonarch_entry.platform import Conflict, Found, PlatformClient, Written
 
 SUPPORT_INTERVAL: Final = 0.1
-NOT_OF_A_ROUND: Final = 0
+NO_ROUND: Final = 0
 
 
-class Supporting:
+class LeaseSupport:
     """Support given and received."""
 
-    __slots__ = ("_held", "_membership", "_opts", "_platform", "_send", "_supported", "_works")
+    __slots__ = (
+        "_membership",
+        "_opts",
+        "_platform",
+        "_promises",
+        "_renewal_tasks",
+        "_send",
+        "_supported",
+    )
 
     def __init__(
-        self, opts: Options, platform: Platform, membership: Membership, send: Send
+        self, opts: Options, platform: PlatformClient, membership: Membership, send: Send
     ) -> None:
         timing = opts.timing
         self._opts = opts
         self._platform = platform
         self._membership = membership
         self._send = send
-        self._held = PromisesHeld(timing.lease_term)
+        self._promises = PromisesHeld(timing.lease_term)
         self._supported = False
-        self._works: set[asyncio.Task[None]] = set()
+        self._renewal_tasks: set[asyncio.Task[None]] = set()
 
-    async def keep(self) -> None:
+    async def run(self) -> None:
         """Asks for support whenever the lease runs out; runs until cancelled."""
         lease = self._membership.lease
         while True:
             now = monotonic()
             if lease.wants_support(now):
-                self._ask(now)
-            elif self._supported and not lease.holds(now):
-                self._note(False)
+                self._request_support(now)
+            elif self._supported and not lease.is_valid(now):
+                self._set_supported(False)
             await asyncio.sleep(SUPPORT_INTERVAL)
 
-    def _ask(self, now: float) -> None:
+    def _request_support(self, now: float) -> None:
         membership = self._membership
-        number = self._held.ask(now)
-        membership.lease.trying(now)
-        request = Support(number, membership.record(), membership.lease.version)
+        number = self._promises.start_request(now)
+        membership.lease.record_attempt(now)
+        request = Support(number, membership.lease_record(), membership.lease.version)
         for name in membership.zone_peers():
             self._send(name, request)
-        self._count(now)
+        self._check_promises(now)
 
-    def _count(self, now: float) -> None:
-        asked_at = self._held.asked_at(self._membership.needed(), now)
+    def _check_promises(self, now: float) -> None:
+        asked_at = self._promises.supported_since(self._membership.potential_successors(), now)
         if asked_at is not None:
-            self._membership.lease.promised(asked_at, now)
-            self._note(self._membership.lease.holds(now))
+            self._membership.lease.record_promises(asked_at, now)
+            self._set_supported(self._membership.lease.is_valid(now))
 
-    def _note(self, supported: bool) -> None:
+    def _set_supported(self, supported: bool) -> None:
         if supported is not self._supported:
             log("owner_supported" if supported else "owner_unsupported", by="promises")
         self._supported = supported
 
     # The owner's side ------------------------------------------------------------------------
 
-    def promised(self, promised: Promised) -> None:
+    def handle_promised(self, promised: Promised) -> None:
         """Counts a peer's promise."""
-        self._held.promised(promised.peer, promised.round)
-        self._count(monotonic())
+        self._promises.record_promise(promised.peer, promised.round)
+        self._check_promises(monotonic())
 
-    def renewed(self, renewed: Renewed) -> None:
+    def handle_renewed(self, renewed: Renewed) -> None:
         """Counts a renewal that a peer made on this instance's behalf."""
         now = monotonic()
         lease = self._membership.lease
-        sent = self._held.sent_at(renewed.round)
+        sent = self._promises.sent_at(renewed.round)
         if renewed.version <= lease.version:
             return
         if sent is None:
-            lease.read_back(renewed.version, now)
+            lease.record_stored_version(renewed.version, now)
         else:
-            lease.renewed(sent, renewed.version, now)
-            self._membership.period.renewed(sent, now)
+            lease.record_renewal(sent, renewed.version, now)
+            self._membership.lease_period.record_renewal(sent, now)
         log("lease_renewed_by_peer", version=renewed.version)
 
     # The peer's side -------------------------------------------------------------------------
 
-    def asked(self, support: Support) -> None:
+    def handle_support(self, support: Support) -> None:
         """Promises, and renews if the platform is reached."""
         record = support.record
         if record.zone != self._opts.zone:
@@ -104,25 +112,25 @@
         self._membership.promises.give(record.instance, monotonic())
         self._send(record.instance, Promised(support.round, self._opts.instance))
         if self._membership.reaches_platform and support.version:
-            work = asyncio.create_task(self._renew(support))
-            self._works.add(work)
-            work.add_done_callback(self._works.discard)
+            work = asyncio.create_task(self._renew_for_owner(support))
+            self._renewal_tasks.add(work)
+            work.add_done_callback(self._renewal_tasks.discard)
 
-    async def _renew(self, support: Support) -> None:
+    async def _renew_for_owner(self, support: Support) -> None:
         record = support.record
         result = await self._platform.replace(LEASES, record.instance, record, support.version)
         answer: Message | None = None
         if isinstance(result, Written):
             answer = Renewed(support.round, result.version)
         elif isinstance(result, Conflict):
-            answer = await self._found(record)
+            answer = await self._stored_renewal(record)
         if answer is not None:
             self._send(record.instance, answer)
 
-    async def _found(self, record: LeaseRecord) -> Message | None:
+    async def _stored_renewal(self, record: LeaseRecord) -> Message | None:
         """Returns what another peer's renewal, or an earlier one of ours, has stored."""
         found = await self._platform.get(LEASES, record.instance)
         if not isinstance(found, Found):
             return None
         stored = msgspec.convert(found.value, LeaseRecord)
-        return Renewed(NOT_OF_A_ROUND, found.version) if stored.boot == record.boot else None
+        return Renewed(NO_ROUND, found.version) if stored.boot == record.boot else None
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/texts.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/texts.py
@@ -10,14 +10,14 @@
 RAN_AND_FAILED: Final = "the request ran and failed"
 NOT_RUN: Final = "the request did not run"
 
-ONE_PROMPT: Final = "`prompt` must be a string or a list of one string"
-ONE_CHOICE: Final = "`n` must be 1"
-SOME_MESSAGES: Final = "`messages` must not be empty"
+BAD_PROMPT: Final = "`prompt` must be a string or a list of one string"
+BAD_CHOICE_COUNT: Final = "`n` must be 1"
+NO_MESSAGES: Final = "`messages` must not be empty"
 BAD_MODEL: Final = "`model` must have the form service/adapter[@version]"
 BAD_TOKENS: Final = "the number of tokens must not be negative"
-MANY_TOKENS: Final = "at most {most} tokens may be asked for"
-LONG_PROMPT: Final = "a prompt may have at most {most} characters"
-LARGE_BODY: Final = "a body may have at most {most} bytes"
+TOO_MANY_TOKENS: Final = "at most {most} tokens may be asked for"
+PROMPT_TOO_LONG: Final = "a prompt may have at most {most} characters"
+BODY_TOO_LARGE: Final = "a body may have at most {most} bytes"
 BAD_OPERATION: Final = "an operation is 1 to 128 letters, digits, `.`, `_`, `~` or `-`"
 BAD_JSON: Final = "the body of a call must be a JSON document in UTF-8"
 BAD_BODY: Final = "the body does not have the encoding that its headers say"
@@ -25,11 +25,11 @@
 BAD_KEY: Final = "an idempotency key must be 1 to 255 printable characters"
 BAD_NUMBER: Final = "{name} must be a whole number from {least} to {most}"
 TOO_MANY_STREAMS: Final = "too many streamed answers in progress at this instance"
-NOT_READING: Final = "the caller does not read"
-SLOW_BODY: Final = "the body did not arrive in time"
-PATH_UNKNOWN: Final = "no such path; see the operators' page for what this door serves"
-METHOD_UNKNOWN: Final = "this path does not take this method"
-BROKEN: Final = "an error of the system itself; " + MAY_HAVE_RUN
+CALLER_NOT_READING: Final = "the caller does not read"
+BODY_TIMED_OUT: Final = "the body did not arrive in time"
+UNKNOWN_PATH: Final = "no such path; see the operators' page for what this door serves"
+UNKNOWN_METHOD: Final = "this path does not take this method"
+INTERNAL_ERROR: Final = "an error of the system itself; " + MAY_HAVE_RUN
 
 REASON_TEXTS: Final[dict[Reason, str]] = {
     Reason.MALFORMED: "the request is malformed",
@@ -72,7 +72,7 @@
 }
 
 
-def tell(outcome: Outcome) -> str:
+def describe(outcome: Outcome) -> str:
     """Returns what a caller is told of a request without an answer; empty for an answer.
 
     The last part says whether it ran, for example: "the queue is full; the request did not run".
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/wire.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/wire.py
@@ -11,9 +11,9 @@
 from wigeonarch_core.refs import MODEL_SEPARATOR, VERSION_SEPARATOR, is_name
 from wigeonarch_schema import wigeonarch_pb2 as pb
 
-from wigeonarch_entry.configuration import ChangeReply, Standing
+from wigeonarch_entry.configuration import ChangeReply, ChangeStatus
 from wigeonarch_entry.requests import Generate, Request
-from wigeonarch_entry.texts import tell
+from wigeonarch_entry.texts import describe
 
 KINDS: Final = {
     pb.ENTRY_KIND_SERVICE: cat.EntryKind.SERVICE,
@@ -30,11 +30,11 @@
 SERVICE_KIND_VALUES: Final = {kind: value for value, kind in SERVICE_KINDS.items()}
 
 STATUSES: Final = {
-    Standing.ACCEPTED: pb.STATUS_ACCEPTED,
-    Standing.PENDING: pb.STATUS_PENDING,
-    Standing.CONFLICT: pb.STATUS_REJECTED_CONFLICT,
-    Standing.INVALID: pb.STATUS_REJECTED_INVALID,
-    Standing.UNAVAILABLE: pb.STATUS_UNAVAILABLE,
+    ChangeStatus.ACCEPTED: pb.STATUS_ACCEPTED,
+    ChangeStatus.PENDING: pb.STATUS_PENDING,
+    ChangeStatus.CONFLICT: pb.STATUS_REJECTED_CONFLICT,
+    ChangeStatus.INVALID: pb.STATUS_REJECTED_INVALID,
+    ChangeStatus.UNAVAILABLE: pb.STATUS_UNAVAILABLE,
 }
 
 OUTCOMES: Final[dict[type[Outcome], pb.Outcome.ValueType]] = {
@@ -46,7 +46,7 @@
 
 
 # Separators that a name of each kind has, and the number of its parts.
-_FORMS: Final = {
+_NAME_FORMS: Final = {
     cat.EntryKind.SERVICE: ("", 1),
     cat.EntryKind.ADAPTER: (MODEL_SEPARATOR, 2),
     cat.EntryKind.VERSION: (MODEL_SEPARATOR + VERSION_SEPARATOR, 3),
@@ -54,67 +54,67 @@
 }
 
 
-def mutation_from(message: pb.Mutation) -> Mutation | None:
+def decode_mutation(message: pb.Mutation) -> Mutation | None:
     """Returns the mutation in a message; None when it is malformed."""
     change = message.WhichOneof("change")
     expected = message.expected_version
     if change == "delete_entry":
-        key = key_from(message.delete_entry.kind, message.delete_entry.name)
+        key = decode_key(message.delete_entry.kind, message.delete_entry.name)
         return Delete(key, expected) if key else None
-    entry = _entry_from(message, change or "")
+    entry = _decode_entry(message, change or "")
     return Put(entry, expected) if entry is not None else None
 
 
-def key_from(kind: pb.EntryKind.ValueType, name: str) -> cat.EntryKey | None:
+def decode_key(kind: pb.EntryKind.ValueType, name: str) -> cat.EntryKey | None:
     """Returns the key of an entry; None when it is malformed."""
     known = KINDS.get(kind)
-    return cat.EntryKey(known, name) if known and _has_form(known, name) else None
+    return cat.EntryKey(known, name) if known and _has_name_form(known, name) else None
 
 
-def _has_form(kind: cat.EntryKind, name: str) -> bool:
+def _has_name_form(kind: cat.EntryKind, name: str) -> bool:
     """Tells whether a name has the form of its kind: `s`, `s/a`, `s/a@v`, `s/a`."""
     service, slash, rest = name.partition(MODEL_SEPARATOR)
     adapter, at, version = rest.partition(VERSION_SEPARATOR)
-    marks, parts = _FORMS[kind]
-    return slash + at == marks and _is_name(*(service, adapter, version)[:parts])
+    marks, parts = _NAME_FORMS[kind]
+    return slash + at == marks and _are_names(*(service, adapter, version)[:parts])
 
 
-def _entry_from(message: pb.Mutation, change: str) -> cat.Entry | None:
+def _decode_entry(message: pb.Mutation, change: str) -> cat.Entry | None:
     makers: dict[str, Callable[[], cat.Entry | None]] = {
-        "put_service": lambda: _service_from(message.put_service.service),
-        "put_adapter": lambda: _adapter_from(message.put_adapter.adapter),
-        "put_version": lambda: _version_from(message.put_version.version),
-        "put_rule": lambda: _rule_from(message.put_rule.rule),
+        "put_service": lambda: _decode_service(message.put_service.service),
+        "put_adapter": lambda: _decode_adapter(message.put_adapter.adapter),
+        "put_version": lambda: _decode_version(message.put_version.version),
+        "put_rule": lambda: _decode_rule(message.put_rule.rule),
     }
     make = makers.get(change)
     return make() if make else None
 
 
-def _is_name(*parts: str) -> bool:
+def _are_names(*parts: str) -> bool:
     return all(map(is_name, parts))
 
 
-def _service_from(msg: pb.Service) -> cat.Service | None:
+def _decode_service(msg: pb.Service) -> cat.Service | None:
     kind = SERVICE_KINDS.get(msg.kind)
-    if kind is None or not _is_name(msg.name):
+    if kind is None or not _are_names(msg.name):
         return None
     fencing = tuple(msg.fencing_endpoints)
     return cat.Service(msg.name, kind, msg.base_model, fencing, msg.deadline_ms)
 
 
-def _adapter_from(msg: pb.Adapter) -> cat.Adapter | None:
-    return cat.Adapter(msg.service, msg.name) if _is_name(msg.service, msg.name) else None
+def _decode_adapter(msg: pb.Adapter) -> cat.Adapter | None:
+    return cat.Adapter(msg.service, msg.name) if _are_names(msg.service, msg.name) else None
 
 
-def _version_from(msg: pb.Version) -> cat.Version | None:
-    if not _is_name(msg.service, msg.adapter, msg.name):
+def _decode_version(msg: pb.Version) -> cat.Version | None:
+    if not _are_names(msg.service, msg.adapter, msg.name):
         return None
     return cat.Version(msg.service, msg.adapter, msg.name, msg.weights, msg.bytes)
 
 
-def _rule_from(msg: pb.Rule) -> cat.Rule | None:
+def _decode_rule(msg: pb.Rule) -> cat.Rule | None:
     versions = [split.version for split in msg.splits]
-    if not _is_name(msg.service, msg.adapter, *versions):
+    if not _are_names(msg.service, msg.adapter, *versions):
         return None
     if not versions or len(set(versions)) < len(versions):
         return None
@@ -124,7 +124,7 @@
     return cat.Rule(msg.service, msg.adapter, splits)
 
 
-def entry_to(stored: cat.Stored) -> pb.Entry:
+def encode_entry(stored: cat.Stored) -> pb.Entry:
     """Returns the message for a stored entry."""
     key = cat.key_of(stored.entry)
     message = pb.Entry(kind=KIND_VALUES[key.kind], name=key.name, version=stored.version)
@@ -159,10 +159,10 @@
     return message
 
 
-def change_to(reply: ChangeReply) -> pb.MutateReply:
+def encode_change_reply(reply: ChangeReply) -> pb.MutateReply:
     """Returns the message for a reply about a change."""
     return pb.MutateReply(
-        status=STATUSES[reply.standing],
+        status=STATUSES[reply.status],
         change=reply.result.number if reply.result else 0,
         entry_version=reply.result.version if reply.result else 0,
         message=reply.message,
@@ -171,10 +171,10 @@
     )
 
 
-def outcome_to(req: Request | None, request_id: str, outcome: Outcome) -> pb.SubmitReply:
+def encode_outcome(req: Request | None, request_id: str, outcome: Outcome) -> pb.SubmitReply:
     """Returns the message for an outcome."""
     reply = pb.SubmitReply(
-        request_id=request_id, outcome=OUTCOMES[type(outcome)], message=tell(outcome)
+        request_id=request_id, outcome=OUTCOMES[type(outcome)], message=describe(outcome)
     )
     if req is not None:
         reply.idempotency_key = req.key
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_baselines.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_baselines.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from wigeonarch_core import homes
+from wigeonarch_core import rendezvous as homes
 from wigeonarch_core.refs import AdapterVersion
 
 from wigeonarch_fakes.bench_engine import Engine
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_serving.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_serving.py
@@ -13,12 +13,12 @@
 
 from wigeonarch_core.decisions import Grant, Refuse
 from wigeonarch_core.engine_report import EngineReport, LoadedAdapter
-from wigeonarch_core.messages import Ask, EngineSummary
-from wigeonarch_core.placement import EngineView, choose
+from wigeonarch_core.load_permits import LoadPermits
+from wigeonarch_core.messages import EngineSummary, GrantRequest
+from wigeonarch_core.placement import EngineView, choose_engines
 from wigeonarch_core.policy_options import PolicyOptions
 from wigeonarch_core.refs import AdapterVersion
 from wigeonarch_core.scheduler import EngineScheduler
-from wigeonarch_core.turn import LoadTurns
 
 from wigeonarch_fakes.bench_engine import Engine
 from wigeonarch_fakes.bench_store import MS
@@ -32,7 +32,7 @@
 class _Side:
     """The holder of the turn to load on one side of a cut; there is one side when there is none."""
 
-    turns: LoadTurns
+    turns: LoadPermits
     due: float = -1.0
 
 
@@ -76,7 +76,7 @@
         }
         zones = world.deployment.zones
         self._seen: dict[str, dict[str, EngineSummary]] = {zone: {} for zone in zones}
-        self._sides = {zone: _Side(LoadTurns(opts, zones, 0.0)) for zone in ("", *zones)}
+        self._sides = {zone: _Side(LoadPermits(opts, zones, 0.0)) for zone in ("", *zones)}
         self._due = dict.fromkeys(world.engines, -1.0)
         self._tickets: dict[int, _Ticket] = {}
         self._by_ask: dict[str, _Ticket] = {}
@@ -84,7 +84,7 @@
     def policy(self) -> Policy:
         """Returns the callbacks, with the timers started."""
         for engine in self._world.engines.values():
-            self._owners[engine.name].report(_report(engine), 0.0)
+            self._owners[engine.name].apply_report(_report(engine), 0.0)
             self._report_later(engine)
         self._heartbeat()
         return Policy(
@@ -107,7 +107,7 @@
         if request.ended >= 0.0:
             return
         views = self._views(request.zone)
-        choices = choose(request.target, request.zone, views, self._opts, ticket.tried)
+        choices = choose_engines(request.target, request.zone, views, self._opts, ticket.tried)
         if not choices or len(ticket.tried) >= TRIES:
             self._world.refuse(request, reason)
             return
@@ -129,9 +129,9 @@
     def _ask(self, ticket: _Ticket) -> None:
         now = self._world.clock.now
         request = ticket.request
-        ask = Ask(
-            ask=ticket.ask,
-            asker=f"entry-{request.zone}",
+        ask = GrantRequest(
+            dispatch_id=ticket.ask,
+            requester=f"entry-{request.zone}",
             engine=ticket.engine,
             target=request.target,
             caller=request.caller,
@@ -140,7 +140,7 @@
             tokens=request.tokens,
             prefix=request.prefix,
         )
-        refused = self._owners[ticket.engine].ask(ask, now)
+        refused = self._owners[ticket.engine].submit(ask, now)
         if refused is not None:
             self._refused(refused)
             return
@@ -151,7 +151,7 @@
         owner = self._owners[engine]
         for decision in owner.decide(now):
             if isinstance(decision, Grant):
-                self._world.clock.after(self._hop, self._granted(decision.ask))
+                self._world.clock.after(self._hop, self._granted(decision.dispatch_id))
                 continue
             self._refused(decision)
         self._bid(engine)
@@ -183,7 +183,7 @@
         return go
 
     def _refused(self, refused: Refuse) -> None:
-        ticket = self._by_ask.pop(refused.ask, None)
+        ticket = self._by_ask.pop(refused.dispatch_id, None)
         if ticket is None:
             return
         self._world.engines[ticket.engine].wait_no_more(ticket.request)
@@ -210,17 +210,17 @@
 
     def _bid(self, engine: str) -> None:
         side = self._side(engine)
-        bid = self._owners[engine].bid(self._world.clock.now)
+        bid = self._owners[engine].best_bid(self._world.clock.now)
         if bid is None:
             side.turns.withdraw(engine)
             return
         zone = self._world.engines[engine].zone
-        side.turns.bid(engine, zone, bid.value, self._world.clock.now)
+        side.turns.add_bid(engine, zone, bid.value, self._world.clock.now)
         self._give_turns(side)
 
     def _give_turns(self, side: _Side) -> None:
         now = self._world.clock.now
-        for engine in side.turns.decide(now):
+        for engine in side.turns.grant_due(now):
             self._world.clock.after(2 * self._hop, self._turn(side, engine))
         due = side.turns.next_due(now)
         if due == side.due:
@@ -237,10 +237,10 @@
 
         def go() -> None:
             now = self._world.clock.now
-            bid = owner.bid(now)
+            bid = owner.best_bid(now)
             order = None if bid is None else owner.start_load(bid.target, now)
             if order is None:
-                side.turns.ended(name, now)
+                side.turns.end_load(name, now)
                 self._give_turns(side)
                 return
             target = order.target
@@ -248,8 +248,8 @@
 
         def ended(target: AdapterVersion, ok: bool) -> None:
             now = self._world.clock.now
-            owner.load_ended(target, ok, now)
-            side.turns.ended(name, now)
+            owner.finish_load(target, ok, now)
+            side.turns.end_load(name, now)
             self._wake(name)
             self._give_turns(side)
 
@@ -260,7 +260,9 @@
         cut = self._world.cut_zone
         zones = self._world.deployment.zones
         for name, side in self._sides.items():
-            side.turns.reach([zone for zone in zones if (zone == cut) == (name != "")], now)
+            side.turns.set_reachable_zones(
+                [zone for zone in zones if (zone == cut) == (name != "")], now
+            )
         for engine in self._owners:
             for side in self._sides.values():
                 side.turns.withdraw(engine)
@@ -284,7 +286,7 @@
             self._world.clock.after(deployment.report_interval, sample)
 
         def deliver(rep: EngineReport) -> None:
-            self._owners[engine.name].report(rep, self._world.clock.now)
+            self._owners[engine.name].apply_report(rep, self._world.clock.now)
             self._wake(engine.name)
 
         self._world.clock.after(deployment.report_interval, sample)
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/demo_fleet.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/demo_fleet.py
@@ -94,7 +94,7 @@
             fleet.nodes[name] = node = Node(_options(name, zone, platform.address, plan))
             stack.push_async_callback(node.stop)
             await node.start()
-        await wait_for(lambda: all(n.refusal() is None for n in fleet.nodes.values()))
+        await wait_for(lambda: all(n.refusal_reason() is None for n in fleet.nodes.values()))
         yield fleet
 
 
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_bench.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_bench.py
@@ -21,7 +21,7 @@
 from typing import Final
 
 import msgspec
-from wigeonarch_core.quota_bank import QuotaBank
+from wigeonarch_core.quota_ledger import QuotaLedger
 
 from wigeonarch_fakes.quota_ways import BucketBank, EqualShares, ToldSums
 from wigeonarch_fakes.quota_world import BOUNDS, AskBankers, Way, World, quota
@@ -111,11 +111,11 @@
     Scenario("all restarted", LARGE_TEAM, trouble=restart_all, at=RESTART_AT),
     Scenario("small team", SMALL_TEAM, hot=False),
 )
-WAYS: Final[dict[str, tuple[Callable[[], Way], type[QuotaBank]]]] = {
-    "equal shares": (EqualShares, QuotaBank),
-    "told sums": (ToldSums, QuotaBank),
+WAYS: Final[dict[str, tuple[Callable[[], Way], type[QuotaLedger]]]] = {
+    "equal shares": (EqualShares, QuotaLedger),
+    "told sums": (ToldSums, QuotaLedger),
     "banker, bucket": (AskBankers, BucketBank),
-    "banker, account": (AskBankers, QuotaBank),
+    "banker, account": (AskBankers, QuotaLedger),
 }
 
 
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_ways.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_ways.py
@@ -10,7 +10,13 @@
 from collections import deque
 from collections.abc import Mapping
 
-from wigeonarch_core.quota_bank import Part, Plea, QuotaBank, QuotaBounds, Verdict
+from wigeonarch_core.quota_ledger import (
+    AcquireResult,
+    LoanRequest,
+    QuotaBounds,
+    QuotaLedger,
+    QuotaShare,
+)
 from wigeonarch_core.teams import Quota
 
 from wigeonarch_fakes.quota_world import BOUNDS, Instance, World
@@ -94,33 +100,37 @@
         self._heard.pop(one.name, None)
 
 
-class BucketBank(QuotaBank):
+class BucketBank(QuotaLedger):
     """A banker's token bucket, which is empty at the start and lends nothing."""
 
-    def __init__(self, bounds: QuotaBounds, now: float, first_plea: int = 0) -> None:
+    def __init__(self, bounds: QuotaBounds, now: float, first_loan_request: int = 0) -> None:
         """Begins without credit."""
-        super().__init__(bounds, now, first_plea)
+        super().__init__(bounds, now, first_loan_request)
         self._level = 0.0
         self._at = now
 
-    def look(self, parts: Mapping[str, tuple[Quota, Part]], now: float) -> None:
+    def update(self, parts: Mapping[str, tuple[Quota, QuotaShare]], now: float) -> None:
         """Fills the bucket."""
         for quota, part in parts.values():
             self._fill(quota, part, now)
 
-    def ask(self, team: str, quota: Quota, part: Part, cost: float, now: float) -> Verdict:
+    def acquire(
+        self, team: str, quota: Quota, part: QuotaShare, cost: float, now: float
+    ) -> AcquireResult:
         """Grants what the bucket holds, where this instance is the banker."""
         self._fill(quota, part, now)
-        if not part.banker or cost > self._level:
-            return Verdict(False)
+        if not part.is_coordinator or cost > self._level:
+            return AcquireResult(False)
         self._level -= cost
-        return Verdict(True)
+        return AcquireResult(True)
 
-    def plea(self, team: str, quota: Quota, part: Part, now: float) -> Plea | None:
+    def request_loan(
+        self, team: str, quota: Quota, part: QuotaShare, now: float
+    ) -> LoanRequest | None:
         """Asks other zones for nothing."""
         return None
 
-    def _fill(self, quota: Quota, part: Part, now: float) -> None:
+    def _fill(self, quota: Quota, part: QuotaShare, now: float) -> None:
         added = quota.rate * part.share * (now - self._at)
         self._level = min(quota.burst * part.share, self._level + added)
         self._at = now
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_world.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_world.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Final, Protocol
 
-from wigeonarch_core.homes import ranked
-from wigeonarch_core.quota_bank import Part, QuotaBank, QuotaBounds, Verdict
+from wigeonarch_core.quota_ledger import AcquireResult, QuotaBounds, QuotaLedger, QuotaShare
+from wigeonarch_core.rendezvous import ranked
 from wigeonarch_core.teams import Quota, Unit
 
 TEAM: Final = "t"
@@ -59,7 +59,7 @@
                     break
                 if verdict.granted:
                     return True
-                if not verdict.loan:
+                if not verdict.loan_requested:
                     return False
         return False
 
@@ -76,7 +76,7 @@
 
     name: str
     zone: int
-    bank: QuotaBank
+    bank: QuotaLedger
     started: float = -100.0
     away_until: float = 0.0  # Frozen or not yet started again.
     split_until: float = 0.0  # On one side of a cut through its zone.
@@ -102,7 +102,7 @@
     instances: list[Instance] = field(default_factory=list)
     cuts: list[tuple[float, int]] = field(default_factory=list)
     events: list[tuple[float, str]] = field(default_factory=list)
-    bank_made: Callable[[QuotaBounds, float, int], QuotaBank] = QuotaBank
+    bank_made: Callable[[QuotaBounds, float, int], QuotaLedger] = QuotaLedger
     share_of: Callable[[int, int], float] = lambda heard, known: heard / known
     way: Way = field(default_factory=AskBankers)
     messages: int = 0  # Sent for requests, heartbeats not counted.
@@ -159,10 +159,10 @@
         settled = [name for name in names if one.told.get(name, one.started) <= latest]
         return ranked(TEAM, sorted(settled or names))
 
-    def part(self, one: Instance) -> Part:
+    def part(self, one: Instance) -> QuotaShare:
         """Returns what an instance may give by its own view."""
         share = self.share_of(len(self.in_zone(one)), self.per_zone) / self.zones
-        return Part(share, self.bankers(one)[0] == one.name)
+        return QuotaShare(share, self.bankers(one)[0] == one.name)
 
     # What they do.
 
@@ -179,17 +179,23 @@
         if granted:
             self.given.append((self.now, cost))
 
-    def ask(self, banker: Instance, cost: float) -> Verdict:
+    def ask(self, banker: Instance, cost: float) -> AcquireResult:
         """Returns a banker's verdict; one that is short asks other zones for a loan."""
         part = self.part(banker)
-        verdict = banker.bank.ask(TEAM, self.quota, part, cost, self.now)
-        plea = banker.bank.plea(TEAM, self.quota, part, self.now)
+        verdict = banker.bank.acquire(TEAM, self.quota, part, cost, self.now)
+        plea = banker.bank.request_loan(TEAM, self.quota, part, self.now)
         if plea is None:
             return verdict
         for zone in range(self.zones):
             if zone != banker.zone:
                 self.plead(banker, zone, plea.number, plea.wanted / (self.zones - 1))
-        return Verdict(verdict.granted, verdict.wait, verdict.turn, verdict.level, loan=True)
+        return AcquireResult(
+            verdict.granted,
+            verdict.wait,
+            verdict.queue_wait,
+            verdict.remaining,
+            loan_requested=True,
+        )
 
     def plead(self, borrower: Instance, zone: int, number: int, wanted: float) -> None:
         """Asks another zone for a loan, by any instance of it."""
@@ -202,7 +208,7 @@
         units = lender.bank.lend(TEAM, self.quota, self.part(lender), wanted, self.now)
         for _ in range(1 + (self.rng.random() < self.loss)):  # A datagram may come twice.
             if units > 0.0 and self.arrives(lender, borrower):
-                borrower.bank.borrowed(TEAM, number, lender.name, units, self.now)
+                borrower.bank.accept_loan(TEAM, number, lender.name, units, self.now)
 
     def beat(self) -> None:
         """Lets all instances hear of those in reach."""
@@ -266,7 +272,7 @@
                 next_look += LOOK
                 for one in self.instances:
                     if self.alive(one):
-                        one.bank.look({TEAM: (self.quota, self.part(one))}, self.now)
+                        one.bank.update({TEAM: (self.quota, self.part(one))}, self.now)
             if self.troubles and self.now >= next_trouble:
                 next_trouble = self.now + self.rng.expovariate(1.0 / 2.5)
                 self.trouble()
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/admission.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/admission.py
@@ -19,16 +19,16 @@
 from wigeonarch_core.teams import KeyProblem, Quota, Team, team_of
 
 from wigeonarch_gateway import texts
-from wigeonarch_gateway.exchange import Incoming
-from wigeonarch_gateway.finding import Inputs
+from wigeonarch_gateway.exchange import CallerRequest
 from wigeonarch_gateway.metrics import Metrics
 from wigeonarch_gateway.ports import Headers, RequestTerms
-from wigeonarch_gateway.quotas import Credit, Quotas, Refused
+from wigeonarch_gateway.quotas import QuotaGrant, QuotaManager, QuotaRefusal
+from wigeonarch_gateway.selection import LogFields
 
 # Share of its objective for which a request waits for its turn.
-TURN_SHARE: Final = 0.2
+QUOTA_WAIT_SHARE: Final = 0.2
 # When to come back after a refusal that another instance would not have given, in seconds.
-ELSEWHERE: Final = 0.05
+RETRY_ELSEWHERE_AFTER: Final = 0.05
 
 KEY_TEXTS: Final = {
     KeyProblem.MISSING: texts.KEY_MISSING,
@@ -40,7 +40,7 @@
     """The request may be served, for a team or for none, on credit or without."""
 
     team: Team | None = None
-    credit: Credit | None = None
+    quota_grant: QuotaGrant | None = None
 
 
 class Denied(msgspec.Struct, frozen=True):
@@ -63,9 +63,9 @@
 
     reason: str
     text: str
-    after: float
+    retry_after: float
     over_quota: bool
-    inputs: Inputs
+    log_fields: LogFields
 
 
 Decision = Admitted | Denied | Deferred
@@ -79,7 +79,7 @@
     def __init__(
         self,
         read_key: Callable[[Headers], str | None],
-        quotas: Quotas,
+        quotas: QuotaManager,
         is_behind: Callable[[], bool],
         metrics: Metrics,
     ) -> None:
@@ -97,49 +97,54 @@
         self._metrics = metrics
 
     async def admit(
-        self, req: Incoming, terms: RequestTerms, route: Route, table: RoutingTable
+        self, req: CallerRequest, terms: RequestTerms, route: Route, table: RoutingTable
     ) -> Decision:
         """Decides on a request; takes its credit when it may be served."""
         if table.teams is None:
             return Admitted()
         team = team_of(table.teams, self._read_key(req.raw_headers), route.public)
         if isinstance(team, KeyProblem):
-            return self._without_team(team)
+            return self._reject_key(team)
         if team is None or team.quota is None:
             return Admitted(team)
-        return await self._on_credit(team, team.quota, terms, route)
+        return await self._admit_within_quota(team, team.quota, terms, route)
 
-    def give_back(self, admitted: Admitted) -> None:
+    def refund(self, admitted: Admitted) -> None:
         """Gives back the credit of a request that has not run and will not."""
-        if admitted.credit is not None:
-            self._quotas.give_back(admitted.credit)
+        if admitted.quota_grant is not None:
+            self._quotas.refund(admitted.quota_grant)
 
-    def _without_team(self, problem: KeyProblem) -> Denied | Deferred:
+    def _reject_key(self, problem: KeyProblem) -> Denied | Deferred:
         if problem is KeyProblem.UNKNOWN and self._is_behind():
-            return Deferred("key_unsure", texts.KEY_UNSURE, ELSEWHERE, False, {})
+            return Deferred("key_unsure", texts.KEY_UNSURE, RETRY_ELSEWHERE_AFTER, False, {})
         return Denied(problem.value, KEY_TEXTS[problem])
 
-    async def _on_credit(
+    async def _admit_within_quota(
         self, team: Team, quota: Quota, terms: RequestTerms, route: Route
     ) -> Admitted | Deferred:
         cost = quota.cost(terms.tokens)
-        taken = await self._quotas.take(team, quota, cost)
-        if isinstance(taken, Refused) and taken.verdict.turn < TURN_SHARE * route.objective:
-            await asyncio.sleep(taken.verdict.turn)
-            taken = await self._quotas.take(team, quota, cost)
-        if isinstance(taken, Credit):
-            self._metrics.admitted(team.name, cost)
+        taken = await self._quotas.acquire(team, quota, cost)
+        if (
+            isinstance(taken, QuotaRefusal)
+            and taken.verdict.queue_wait < QUOTA_WAIT_SHARE * route.objective
+        ):
+            await asyncio.sleep(taken.verdict.queue_wait)
+            taken = await self._quotas.acquire(team, quota, cost)
+        if isinstance(taken, QuotaGrant):
+            self._metrics.count_admitted(team.name, cost)
             return Admitted(team, taken)
-        self._metrics.refused_by_quota(team.name, cost)
-        inputs: Inputs = {"team": team.name, "cost": cost}
+        self._metrics.count_over_quota(team.name, cost)
+        inputs: LogFields = {"team": team.name, "cost": cost}
         if taken is None:
-            return Deferred("quota_unsure", texts.QUOTA_UNSURE, ELSEWHERE, False, inputs)
+            return Deferred(
+                "quota_unsure", texts.QUOTA_UNSURE, RETRY_ELSEWHERE_AFTER, False, inputs
+            )
         inputs |= {
-            "left": taken.verdict.level,
+            "left": taken.verdict.remaining,
             "rate": quota.rate,
             "burst": quota.burst,
-            "banker": taken.banker,
+            "banker": taken.coordinator,
             "asked": taken.asked,
         }
-        after = taken.verdict.turn
+        after = taken.verdict.queue_wait
         return Deferred("over_quota", texts.OVER_QUOTA, after, True, inputs)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/calls.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/calls.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from wigeonarch_gateway.connections import Lost
-from wigeonarch_gateway.pools import Pools
+from wigeonarch_gateway.connections import ConnectionLost
+from wigeonarch_gateway.pools import ConnectionPools
 from wigeonarch_gateway.ports import Dialect, EndpointRecord, Notice
 
 
-class CallAnswer(msgspec.Struct, frozen=True):
+class CallResult(msgspec.Struct, frozen=True):
     """The answer to a call; `sent` is False when it can't have reached the endpoint.
 
     Attributes:
@@ -28,8 +28,8 @@
     notice: Notice | None = None
 
 
-async def call(
-    pools: Pools,
+async def call_endpoint(
+    pools: ConnectionPools,
     dialect: Dialect,
     endpoint: EndpointRecord,
     method: str,
@@ -37,7 +37,7 @@
     body: bytes,
     timeout: float,
     may_send: Callable[[], bool] = lambda: True,
-) -> CallAnswer:
+) -> CallResult:
     """Calls an endpoint, naming the one that is meant.
 
     Args:
@@ -50,33 +50,33 @@
         timeout: Longest time for the answer, in seconds.
         may_send: Asked when the connection stands, just before the first byte is written.
     """
-    conn = await pools.take(endpoint)
+    conn = await pools.acquire(endpoint)
     if conn is None:
-        return CallAnswer(0, b"", False)
+        return CallResult(0, b"", False)
     lines = [
         f"{method} {path} HTTP/1.1".encode(),
         b"Host: " + endpoint.address.encode(),
-        dialect.identity + b": " + endpoint.endpoint.encode(),
+        dialect.identity_header + b": " + endpoint.endpoint.encode(),
     ]
     if body:
         lines.append(b"Content-Type: application/json")
         lines.append(b"Content-Length: %d" % len(body))
     request = b"\r\n".join(lines) + b"\r\n\r\n" + body
     if not may_send():
-        pools.put_back(endpoint.endpoint, conn)
-        return CallAnswer(0, b"", False)
+        pools.release_unused(endpoint.endpoint, conn)
+        return CallResult(0, b"", False)
     try:
         async with asyncio.timeout(timeout):
-            conn.begin(request, None)
-            head = await conn.head()
+            conn.send_request(request, None)
+            head = await conn.read_head()
             parts = []
             while part := await conn.read():
                 parts.append(part)
-    except (Lost, TimeoutError):
+    except (ConnectionLost, TimeoutError):
         conn.close()
-        return CallAnswer(0, b"", True)
+        return CallResult(0, b"", True)
     except BaseException:
         conn.close()
         raise
-    pools.give_back(endpoint.endpoint, conn)
-    return CallAnswer(head.status, b"".join(parts), True, dialect.read_notice(head))
+    pools.release(endpoint.endpoint, conn)
+    return CallResult(head.status, b"".join(parts), True, dialect.read_notice(head))
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/catalogue.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/catalogue.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from wigeonarch_core.engine_places import AdapterKey
-from wigeonarch_core.revisions import era_of, within_era
+from wigeonarch_core.revisions import era_of, store_revision
 from wigeonarch_core.routes import RoutingTable
 from wigeonarch_runtime.logs import log
 
@@ -39,27 +39,27 @@
         """Returns the newest version of an adapter; 0 when none was ever named."""
         return self._versions.get((model, adapter), 0)
 
-    def outdated(self, key: AdapterKey) -> bool:
+    def is_outdated(self, key: AdapterKey) -> bool:
         """Tells whether a newer version of an adapter was named."""
         return 0 < key.version < self.version(key.model, key.adapter)
 
-    def tables_listed(self, objects: tuple[StoredObject, ...]) -> None:
+    def take_configuration_list(self, objects: tuple[StoredObject, ...]) -> None:
         """Takes over the configuration in a list."""
         for found in objects:
             self._take_table(found)
 
-    def table_changed(self, change: Change) -> bool:
+    def apply_configuration_change(self, change: Change) -> bool:
         """Takes over a changed configuration; returns whether followers need the change."""
-        return change.deleted or self._take_table(change.found)
+        return change.deleted or self._take_table(change.stored)
 
-    def versions_listed(self, objects: tuple[StoredObject, ...]) -> None:
+    def take_version_list(self, objects: tuple[StoredObject, ...]) -> None:
         """Takes over all versions."""
         for found in objects:
             self._take_version(found)
 
-    def version_changed(self, change: Change) -> bool:
+    def apply_version_change(self, change: Change) -> bool:
         """Takes over a new version; returns whether followers need the change."""
-        return change.deleted or self._take_version(change.found)
+        return change.deleted or self._take_version(change.stored)
 
     def _take_table(self, found: StoredObject) -> bool:
         """Takes a configuration over; returns whether it is news."""
@@ -74,7 +74,7 @@
         log(
             "configuration_in_force",
             version=table.version,
-            revision=within_era(found.revision),
+            revision=store_revision(found.revision),
             era=era_of(found.revision),
             routes=len(table.routes()),
         )
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/connections.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/connections.py
@@ -20,21 +20,23 @@
 
 import httptools
 
-from wigeonarch_gateway.ports import AnswerHead
+from wigeonarch_gateway.ports import ResponseHead
 
 # Unread bytes of an answer at which the endpoint is made to wait, in bytes.
-READ_AHEAD: Final = 262_144
+READ_AHEAD_BYTES: Final = 262_144
 # Bytes sent and not acknowledged for so long mean that the way is gone, in milliseconds.
 UNACKNOWLEDGED_MS: Final = 1_500
 NO_BODY_STATUSES: Final = frozenset({204, 304})
 
 
-class Lost(Exception):  # noqa: N818 - the state of a connection, not an error of the program.
+class ConnectionLost(
+    Exception
+):
     """The connection ended, or what came is no answer."""
 
 
 @dataclass(slots=True)
-class _Incoming:
+class _ResponseState:
     """The answer that is being read."""
 
     status: int = 0
@@ -56,20 +58,20 @@
         self._loop = loop
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._in = _Incoming()
-        self._foreign: Callable[[AnswerHead], bool] | None = None
+        self._response = _ResponseState()
+        self._is_foreign: Callable[[ResponseHead], bool] | None = None
         self._no_body = False
-        self._head: asyncio.Future[AnswerHead] | None = None
+        self._head_future: asyncio.Future[ResponseHead] | None = None
         self._chunks: deque[bytes] = deque()
         self._buffered = 0
         self._paused = False
         self._complete = False
-        self._lost: str | None = None
-        self._spoiled = False
-        self._wake: asyncio.Future[None] | None = None
+        self._lost_reason: str | None = None
+        self._not_reusable = False
+        self._data_ready: asyncio.Future[None] | None = None
         self.idle_since = 0.0
-        self.keep: float | None = None
-        self.fresh = True
+        self.keep_alive_timeout: float | None = None
+        self.unused = True
 
     # What the event loop calls.
 
@@ -84,93 +86,93 @@
 
     def data_received(self, data: bytes) -> None:
         """Parses what came, or gives the connection up if nothing was asked for."""
-        if self._head is None:
-            self._spoil("bytes without a request")
+        if self._head_future is None:
+            self._invalidate("bytes without a request")
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
             if self._complete:
-                self._spoiled = True
+                self._not_reusable = True
             else:
                 self._fail(f"not an answer: {type(exc).__name__}")
-        if self._buffered > READ_AHEAD and not self._paused and self._transport is not None:
+        if self._buffered > READ_AHEAD_BYTES and not self._paused and self._transport is not None:
             self._paused = True
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
         """Ends an answer that has no length."""
-        self._ended(None)
+        self._connection_ended(None)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Ends what is being read."""
-        self._ended(exc)
+        self._connection_ended(exc)
 
     # What the parser calls.
 
     def on_message_begin(self) -> None:
         """Begins an answer; one after the awaited one spoils the connection."""
         if self._complete:
-            self._spoiled = True
+            self._not_reusable = True
             return
-        self._in = _Incoming(headers=[])
+        self._response = _ResponseState(headers=[])
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Notes a header."""
-        if self._complete or self._in.headers is None:
+        if self._complete or self._response.headers is None:
             return
         name = name.lower()
-        self._in.headers.append((name, value))
+        self._response.headers.append((name, value))
         if name in (b"content-length", b"transfer-encoding"):
-            self._in.framed = True
+            self._response.framed = True
 
     def on_headers_complete(self) -> None:
         """Tells the waiting request of its answer, unless the answer is another request's."""
-        if self._complete or self._in.headers is None:
+        if self._complete or self._response.headers is None:
             return
-        self._in.status = self._parser.get_status_code()
-        if self._in.status < 200:
+        self._response.status = self._parser.get_status_code()
+        if self._response.status < 200:
             return
-        head = AnswerHead(self._in.status, tuple(self._in.headers))
-        if self._foreign is not None and self._foreign(head):
-            self._in.foreign = True
+        head = ResponseHead(self._response.status, tuple(self._response.headers))
+        if self._is_foreign is not None and self._is_foreign(head):
+            self._response.foreign = True
             return
         self._note_keep_alive(head)
-        if self._head is not None and not self._head.done():
-            self._head.set_result(head)
+        if self._head_future is not None and not self._head_future.done():
+            self._head_future.set_result(head)
         if self._no_body:
-            self._complete = self._spoiled = True
+            self._complete = self._not_reusable = True
 
     def on_body(self, data: bytes) -> None:
         """Keeps a part of the body."""
-        if self._complete or self._in.foreign:
+        if self._complete or self._response.foreign:
             return
         self._chunks.append(data)
         self._buffered += len(data)
-        self._notify()
+        self._wake_reader()
 
     def on_message_complete(self) -> None:
         """Ends an answer; an informational or foreign one is followed by the awaited one."""
-        if self._complete or self._in.foreign or self._in.status < 200:
-            self._in = _Incoming()
+        if self._complete or self._response.foreign or self._response.status < 200:
+            self._response = _ResponseState()
             return
-        if not self._in.framed and self._in.status not in NO_BODY_STATUSES:
+        if not self._response.framed and self._response.status not in NO_BODY_STATUSES:
             return  # Ends with the connection: `eof_received` tells whether it was complete.
         self._complete = True
         if not self._parser.should_keep_alive():
-            self._spoiled = True
-        self._notify()
+            self._not_reusable = True
+        self._wake_reader()
 
     # What the requests call.
 
     @property
     def usable(self) -> bool:
         """Tells whether another request may be sent."""
-        return self._lost is None and not self._spoiled and self._head is None
+        return self._lost_reason is None and not self._not_reusable and self._head_future is None
 
-    def begin(
-        self, request: bytes, foreign: Callable[[AnswerHead], bool] | None, no_body: bool = False
+    def send_request(
+        self, request: bytes, foreign: Callable[[ResponseHead], bool] | None, no_body: bool = False
     ) -> None:
         """Sends a request; from here on it may have run.
 
@@ -179,35 +181,35 @@
             foreign: Tells whether an answer belongs to another request.
             no_body: Whether the answer has no body whatever its headers say.
         """
-        self._head = self._loop.create_future()
-        self._foreign = foreign
+        self._head_future = self._loop.create_future()
+        self._is_foreign = foreign
         self._no_body = no_body
         self._complete = False
-        self.fresh = False
+        self.unused = False
         if self._transport is not None:
             self._transport.write(request)
 
-    async def head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Returns the head of the answer; raises Lost."""
-        if self._head is None:
-            raise Lost("no request")
-        if self._lost is not None and not self._head.done():
-            raise Lost(self._lost)
-        return await self._head
+        if self._head_future is None:
+            raise ConnectionLost("no request")
+        if self._lost_reason is not None and not self._head_future.done():
+            raise ConnectionLost(self._lost_reason)
+        return await self._head_future
 
     async def read(self) -> bytes:
         """Returns the next part of the body, empty at its end; raises Lost."""
         while not self._chunks:
             if self._complete:
                 return b""
-            if self._lost is not None:
-                raise Lost(self._lost)
-            self._wake = self._loop.create_future()
-            await self._wake
+            if self._lost_reason is not None:
+                raise ConnectionLost(self._lost_reason)
+            self._data_ready = self._loop.create_future()
+            await self._data_ready
         data = b"".join(self._chunks)
         self._chunks.clear()
         self._buffered = 0
-        if self._paused and self._transport is not None and self._lost is None:
+        if self._paused and self._transport is not None and self._lost_reason is None:
             self._paused = False
             self._transport.resume_reading()
         return data
@@ -215,9 +217,9 @@
     def finish(self) -> bool:
         """Ends the request; returns whether the connection may take another one."""
         sent = self._transport is not None and not self._transport.get_write_buffer_size()
-        again = self._complete and sent and not self._spoiled and self._lost is None
-        self._head = None
-        self._foreign = None
+        again = self._complete and sent and not self._not_reusable and self._lost_reason is None
+        self._head_future = None
+        self._is_foreign = None
         self._chunks.clear()
         self._buffered = 0
         self.idle_since = self._loop.time()
@@ -227,40 +229,40 @@
 
     def close(self) -> None:
         """Closes the connection, so that the endpoint stops working on its request."""
-        self._spoiled = True
+        self._not_reusable = True
         if self._transport is not None:
             self._transport.abort()
 
-    def _note_keep_alive(self, head: AnswerHead) -> None:
+    def _note_keep_alive(self, head: ResponseHead) -> None:
         if (head.get(b"connection") or b"").lower() == b"close":
-            self._spoiled = True
+            self._not_reusable = True
         for part in (head.get(b"keep-alive") or b"").split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout":
                 with contextlib.suppress(ValueError):
-                    self.keep = float(value)
+                    self.keep_alive_timeout = float(value)
 
-    def _ended(self, exc: Exception | None) -> None:
-        in_body = self._head is not None and self._head.done() and not self._complete
-        if in_body and not self._in.framed and exc is None and self._lost is None:
+    def _connection_ended(self, exc: Exception | None) -> None:
+        in_body = self._head_future is not None and self._head_future.done() and not self._complete
+        if in_body and not self._response.framed and exc is None and self._lost_reason is None:
             self._complete = True
-        self._spoiled = True
+        self._not_reusable = True
         self._fail("reset" if exc is not None else "closed")
 
     def _fail(self, reason: str) -> None:
-        if self._lost is None:
-            self._lost = reason
-        if self._head is not None and not self._head.done():
-            self._head.set_exception(Lost(reason))
-            self._head.exception()  # Marks it as seen: the waiter may have been cancelled.
-        self._notify()
+        if self._lost_reason is None:
+            self._lost_reason = reason
+        if self._head_future is not None and not self._head_future.done():
+            self._head_future.set_exception(ConnectionLost(reason))
+            self._head_future.exception()  # Marks it as seen: the waiter may have been cancelled.
+        self._wake_reader()
         if self._transport is not None and not self._transport.is_closing():
             self._transport.abort()
 
-    def _spoil(self, reason: str) -> None:
-        self._spoiled = True
+    def _invalidate(self, reason: str) -> None:
+        self._not_reusable = True
         self._fail(reason)
 
-    def _notify(self) -> None:
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+    def _wake_reader(self) -> None:
+        if self._data_ready is not None and not self._data_ready.done():
+            self._data_ready.set_result(None)
