--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/directory.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/directory.py
@@ -13,22 +13,22 @@
 
 from wigeonarch_core.revisions import era_of
 
-from wigeonarch_gateway.links import is_address
-from wigeonarch_gateway.ownobjects import LeaseContent, read_lease
+from wigeonarch_gateway.object_contents import LeaseContent, read_lease
+from wigeonarch_gateway.peer_socket import is_address
 from wigeonarch_gateway.ports import StoredObject
 
-LIST_EVERY: Final = 5.0  # Seconds between looks at the leases.
+LIST_INTERVAL: Final = 5.0  # Seconds between looks at the leases.
 # Seconds without a sign of life (heartbeat, renewed lease) after which an instance is not waited
 # for: two looks at the leases and a term.
-GONE: Final = 8.0
+GONE_AFTER: Final = 8.0
 # Instances of a zone up to which each speaks, watches and orders for itself: what keepers spare
 # grows with the zone, and is little there.
 LARGE_ZONE: Final = 6
-LIST_RARELY: Final = 15.0  # The same by an instance that is no keeper.
+IDLE_LIST_INTERVAL: Final = 15.0  # The same by an instance that is no keeper.
 # Seconds since an instance's lease was seen to change in which it may hand messages on: those that
 # rest renew each 25 s, and the leases are read each 15 s.
-RELAY_SEEN: Final = 45.0
-PRESENT: Final = 60.0  # The same until an instance counts no more.
+RELAY_RENEWED_WITHIN: Final = 45.0
+PRESENT_WITHIN: Final = 60.0  # The same until an instance counts no more.
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
     count: int
     address: str
     zone: str
-    sign: float
+    last_renewal: float
     ended_under: list[tuple[str, list[str]]] = field(default_factory=list)
 
 
@@ -66,10 +66,10 @@
         self.entries: dict[str, Entry] = {}
         self._sizes: Counter[str] = Counter()
 
-    def listed(self, leases: Iterable[StoredObject], now: float) -> list[Entry]:
+    def take_leases(self, leases: Iterable[StoredObject], now: float) -> list[Entry]:
         """Takes over all leases; returns the entries that are new or changed."""
         # Of a lease found at the first look it is not known how old it is: it must change soon.
-        sign = now if self.entries else now - GONE + LIST_EVERY
+        sign = now if self.entries else now - GONE_AFTER + LIST_INTERVAL
         before, self.entries = self.entries, {}
         changed = []
         for lease in leases:
@@ -89,24 +89,30 @@
                 changed.append(entry)
             entry.revision = lease.revision
             self.entries[lease.name] = entry
-        self._sizes = Counter(self.entries[name].zone for name in self.present(now))
+        self._sizes = Counter(self.entries[name].zone for name in self.present_instances(now))
         return changed
 
-    def nothing_listed(self, now: float) -> None:
+    def extend_presence(self, now: float) -> None:
         """Counts all as alive that were when the store was last read."""
         for entry in self.entries.values():
-            if now - entry.sign < GONE:
-                entry.sign = now
+            if now - entry.last_renewal < GONE_AFTER:
+                entry.last_renewal = now
 
-    def present(self, now: float) -> list[str]:
+    def present_instances(self, now: float) -> list[str]:
         """Returns the instances whose leases were seen to change lately."""
-        return [name for name, entry in self.entries.items() if now - entry.sign < PRESENT]
+        return [
+            name
+            for name, entry in self.entries.items()
+            if now - entry.last_renewal < PRESENT_WITHIN
+        ]
 
     def is_large(self, zone: str) -> bool:
         """Tells whether only a few instances of a zone speak for it."""
         return self._sizes[zone] > LARGE_ZONE
 
-    def relays(self, own_zone: str, leaving: Collection[str], now: float) -> dict[str, list[str]]:
+    def relay_addresses(
+        self, own_zone: str, leaving: Collection[str], now: float
+    ) -> dict[str, list[str]]:
         """Returns the addresses that hand messages on in each other zone that is large.
 
         What goes between zones then does not grow with the number of instances there. Any instance
@@ -116,7 +122,7 @@
         """
         found: dict[str, list[str]] = {}
         for name, entry in self.entries.items():
-            fresh = now - entry.sign < RELAY_SEEN and name not in leaving
+            fresh = now - entry.last_renewal < RELAY_RENEWED_WITHIN and name not in leaving
             if fresh and entry.zone != own_zone and self.is_large(entry.zone):
                 found.setdefault(entry.zone, []).append(entry.address)
         return found
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/endpoints.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/endpoints.py
@@ -29,14 +29,14 @@
 from wigeonarch_gateway.ports import EndpointRecord, EndpointState
 
 # Endpoints whose last start is remembered, gone ones included; a deployment has some hundred.
-STARTS_KEPT: Final = 4000
+MAX_REMEMBERED_ENDPOINTS: Final = 4000
 # Seconds after the store came back older in which an entry of its copy brings back no endpoint that
 # was gone: those of silent endpoints lapse in it.
-COPY_DOUBTED: Final = 4.0
+OLD_COPY_PERIOD: Final = 4.0
 NEVER_BORN: Final = -1  # Before the start of all incarnations, those that don't tell it included.
 
 
-class Endpoints:
+class EndpointRegistry:
     """The endpoints of all services.
 
     Attributes:
@@ -47,15 +47,15 @@
     __slots__ = (
         "_born",
         "_by_service",
-        "_copied",
-        "_copy_until",
-        "_gone",
-        "_gone_before",
-        "_left",
+        "_gone_before_copy",
+        "_gone_born",
+        "_leaving_born",
         "_may_lapse_until",
-        "_missing",
+        "_missing_since",
+        "_old_copy_records",
+        "_old_copy_until",
         "_records",
-        "_restarted",
+        "_restarted_at",
         "on_gone",
         "on_restarted",
     )
@@ -75,15 +75,21 @@
             on_restarted: Called with the record of an endpoint that started again under its id.
         """
         self._born: OrderedDict[str, int] = OrderedDict()
-        self._left: OrderedDict[str, int] = OrderedDict()  # Start of the incarnation that leaves.
-        self._gone: OrderedDict[str, int] = OrderedDict()  # Start of the incarnation that is gone.
-        self._gone_before: dict[str, int] = {}  # The same, before the store came back older.
-        self._copied: dict[str, EndpointRecord] = {}  # Those of them that the store's copy has.
-        self._copy_until = float("-inf")
-        self._restarted: dict[str, float] = {}
+        self._leaving_born: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # Start of the incarnation that leaves.
+        self._gone_born: OrderedDict[str, int] = (
+            OrderedDict()
+        )  # Start of the incarnation that is gone.
+        self._gone_before_copy: dict[str, int] = {}  # The same, before the store came back older.
+        self._old_copy_records: dict[str, EndpointRecord] = (
+            {}
+        )  # Those of them that the store's copy has.
+        self._old_copy_until = float("-inf")
+        self._restarted_at: dict[str, float] = {}
         self._records: dict[str, EndpointRecord] = {}
         self._by_service: dict[str, dict[str, EndpointRecord]] = {}
-        self._missing: dict[str, float] = {}
+        self._missing_since: dict[str, float] = {}
         self._may_lapse_until = may_lapse_until
         self.on_gone = on_gone
         self.on_restarted = on_restarted
@@ -98,7 +104,7 @@
 
     def is_missing(self, endpoint: str) -> bool:
         """Tells whether an endpoint is kept although its entry is missing."""
-        return endpoint in self._missing
+        return endpoint in self._missing_since
 
     def ready(self, service: str) -> list[EndpointRecord]:
         """Returns the endpoints of a service that take new work."""
@@ -107,26 +113,26 @@
 
     def since_restart(self, endpoint: str) -> float:
         """Returns the seconds since an endpoint was seen to start again; infinity if never."""
-        return monotonic() - self._restarted.get(endpoint, float("-inf"))
+        return monotonic() - self._restarted_at.get(endpoint, float("-inf"))
 
-    def put(self, record: EndpointRecord) -> bool:
+    def update(self, record: EndpointRecord) -> bool:
         """Takes over what an endpoint says of itself; returns whether it counts."""
         known = self._born.get(record.endpoint, 0)
         if known and not record.born:
             # Endpoints say their start always or never, so somebody else wrote this.
-            self.unreadable(record.endpoint)
+            self.drop_unreadable(record.endpoint)
             return False
         if record.born < known:
             return False
-        if self._is_only_copied(record):
+        if self._is_from_old_copy(record):
             return False
         before = self._records.get(record.endpoint)
-        if self._left.get(record.endpoint, NEVER_BORN) >= record.born:
+        if self._leaving_born.get(record.endpoint, NEVER_BORN) >= record.born:
             record = replace(record, state=EndpointState.LEAVING)
         elif record.state is EndpointState.LEAVING:
             self._note_leaving(record.endpoint, record.born)
         self._note_start(record, known)
-        self._missing.pop(record.endpoint, None)
+        self._missing_since.pop(record.endpoint, None)
         self._records[record.endpoint] = record
         self._by_service.setdefault(record.service, {})[record.endpoint] = record
         if before is None or before.state is not record.state:
@@ -141,22 +147,22 @@
 
         return True
 
-    def came_back_older(self, now: float) -> None:
+    def store_came_back_older(self, now: float) -> None:
         """Notes that the entries that follow are of a copy that is older than those before."""
-        self._copy_until = now + COPY_DOUBTED
-        self._gone_before = dict(self._gone)
-        self._copied.clear()
+        self._old_copy_until = now + OLD_COPY_PERIOD
+        self._gone_before_copy = dict(self._gone_born)
+        self._old_copy_records.clear()
 
-    def _is_only_copied(self, record: EndpointRecord) -> bool:
+    def _is_from_old_copy(self, record: EndpointRecord) -> bool:
         """Tells whether an entry is the first of an endpoint that was gone before the copy."""
         endpoint = record.endpoint
-        if self._gone_before.get(endpoint, NEVER_BORN) < record.born:
+        if self._gone_before_copy.get(endpoint, NEVER_BORN) < record.born:
             return False
-        if endpoint in self._copied or monotonic() >= self._copy_until:
-            self._copied.pop(endpoint, None)
-            del self._gone_before[endpoint]
+        if endpoint in self._old_copy_records or monotonic() >= self._old_copy_until:
+            self._old_copy_records.pop(endpoint, None)
+            del self._gone_before_copy[endpoint]
             return False
-        self._copied[endpoint] = record
+        self._old_copy_records[endpoint] = record
         return True
 
     def _note_start(self, record: EndpointRecord, known: int) -> None:
@@ -166,14 +172,14 @@
         endpoint = record.endpoint
         self._born[endpoint] = record.born
         self._born.move_to_end(endpoint)
-        while len(self._born) > STARTS_KEPT:
-            self._restarted.pop(self._born.popitem(last=False)[0], None)
+        while len(self._born) > MAX_REMEMBERED_ENDPOINTS:
+            self._restarted_at.pop(self._born.popitem(last=False)[0], None)
         if known and record.born > known:
             log("endpoint_restarted", "WARNING", endpoint=endpoint, born=record.born, before=known)
-            self._restarted[endpoint] = monotonic()
+            self._restarted_at[endpoint] = monotonic()
             self.on_restarted(record)
 
-    def leaves(self, endpoint: str, born: int) -> bool:
+    def mark_leaving(self, endpoint: str, born: int) -> bool:
         """Notes that an incarnation of an endpoint said that it leaves.
 
         What its entry says of the same incarnation, before or later, can't take that back.
@@ -181,7 +187,7 @@
         Returns:
             Whether the entry had not said so yet.
         """
-        if self._left.get(endpoint, NEVER_BORN) >= born:
+        if self._leaving_born.get(endpoint, NEVER_BORN) >= born:
             return False
         self._note_leaving(endpoint, born)
         record = self._records.get(endpoint)
@@ -189,69 +195,71 @@
             return True
         if record.born > born or record.state is not EndpointState.READY:
             return False
-        self.put(record)
+        self.update(record)
         return True
 
     def _note_leaving(self, endpoint: str, born: int) -> None:
-        self._left[endpoint] = born
-        self._left.move_to_end(endpoint)
-        while len(self._left) > STARTS_KEPT:
-            self._left.popitem(last=False)
+        self._leaving_born[endpoint] = born
+        self._leaving_born.move_to_end(endpoint)
+        while len(self._leaving_born) > MAX_REMEMBERED_ENDPOINTS:
+            self._leaving_born.popitem(last=False)
 
-    def leaving(self) -> list[tuple[str, int]]:
+    def leaving_incarnations(self) -> list[tuple[str, int]]:
         """Returns the endpoints that said that they leave, for an instance that just started."""
-        return [(endpoint, born) for endpoint, born in self._left.items() if self.get(endpoint)]
+        return [
+            (endpoint, born) for endpoint, born in self._leaving_born.items() if self.get(endpoint)
+        ]
 
-    def unreadable(self, endpoint: str) -> None:
+    def drop_unreadable(self, endpoint: str) -> None:
         """Notes that the entry of an endpoint names none any more: nothing is sent there."""
         self._drop(endpoint, "unreadable")
 
-    def removed(self, endpoint: str, now: float) -> None:
+    def entry_removed(self, endpoint: str, now: float) -> None:
         """Notes that an entry is not in the store any more."""
-        self._copied.pop(endpoint, None)
+        self._old_copy_records.pop(endpoint, None)
         record = self._records.get(endpoint)
         if record is None:
             return
         left = self._may_lapse_until(record.zone) - now
         if left > 0.0 and record.state is EndpointState.READY:
-            if endpoint not in self._missing:
-                self._missing[endpoint] = now
+            if endpoint not in self._missing_since:
+                self._missing_since[endpoint] = now
                 log("endpoint_missing", endpoint=endpoint, kept_for=left)
             return
         self._drop(endpoint, "removed")
 
-    def listed(
+    def apply_list(
         self, records: Iterable[EndpointRecord], now: float, unreadable: Iterable[str] = ()
     ) -> None:
         """Takes over a whole list, and the names of its entries that can't be read."""
         for endpoint in unreadable:
-            self.unreadable(endpoint)
+            self.drop_unreadable(endpoint)
         found = {record.endpoint: record for record in records}
         for record in found.values():
-            self.put(record)
+            self.update(record)
         for endpoint in [name for name in self._records if name not in found]:
-            self.removed(endpoint, now)
+            self.entry_removed(endpoint, now)
 
-    def tick(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drops what is still missing and can't be one that lapsed any more."""
-        for endpoint in list(self._missing):
+        for endpoint in list(self._missing_since):
             if now >= self._may_lapse_until(self._records[endpoint].zone):
                 self._drop(endpoint, "missing_after_outage")
-        if self._gone_before and now >= self._copy_until:
-            for record in list(self._copied.values()):
-                self.put(record)
-            self._gone_before.clear()
+        if self._gone_before_copy and now >= self._old_copy_until:
+            for record in list(self._old_copy_records.values()):
+                self.update(record)
+            self._gone_before_copy.clear()
 
     def _drop(self, endpoint: str, reason: str) -> None:
-        missing = self._missing.pop(endpoint, None)
+        missing = self._missing_since.pop(endpoint, None)
         record = self._records.pop(endpoint, None)
         if record is None:
             return
         self._by_service[record.service].pop(endpoint, None)
-        self._gone[endpoint] = record.born
-        self._gone.move_to_end(endpoint)
-        while len(self._gone) > STARTS_KEPT:
-            self._gone.popitem(last=False)
+        self._gone_born[endpoint] = record.born
+        self._gone_born.move_to_end(endpoint)
+        while len(self._gone_born) > MAX_REMEMBERED_ENDPOINTS:
+            self._gone_born.popitem(last=False)
         kept = 0.0 if missing is None else monotonic() - missing
         log("endpoint_gone", endpoint=endpoint, service=record.service, reason=reason, kept=kept)
         self.on_gone(endpoint)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/orderer.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/engine_controller.py
@@ -14,17 +14,17 @@
 from typing import Final
 
 import msgspec
-from wigeonarch_core.engine_choice import LOADS_AT_ONCE
-from wigeonarch_core.engine_places import AdapterKey, AdapterName, Places
-from wigeonarch_core.load_pace import LoadPace
+from wigeonarch_core.engine_choice import MAX_CONCURRENT_LOADS
+from wigeonarch_core.engine_places import AdapterKey, AdapterName, AdapterPlaces
+from wigeonarch_core.load_time import LoadTimeEstimate
 from wigeonarch_core.routes import EngineSpec, ModelSpec
 from wigeonarch_runtime.clock import monotonic
 from wigeonarch_runtime.logs import log
 
-from wigeonarch_gateway.calls import CallAnswer, call
-from wigeonarch_gateway.messages import PlacesNews
+from wigeonarch_gateway.calls import CallResult, call_endpoint
+from wigeonarch_gateway.messages import EngineUpdate
 from wigeonarch_gateway.metrics import Metrics
-from wigeonarch_gateway.pools import Pools
+from wigeonarch_gateway.pools import ConnectionPools
 from wigeonarch_gateway.ports import (
     Dialect,
     EndpointRecord,
@@ -41,47 +41,53 @@
 REPORT_LAG: Final = 0.2  # Seconds after which a report shows an order; they lag some 100 ms.
 # Seconds until the report is read after an order that was not accepted; doubled with each in a row,
 # as an engine that carries out an order for seconds refuses all others.
-CONFLICT_PAUSE: Final = 0.06
-CONFLICT_MOST: Final = 0.5
+MIN_CONFLICT_PAUSE: Final = 0.06
+MAX_CONFLICT_PAUSE: Final = 0.5
 # Orders without an answer in a row after which the report is read before the next one.
-UNKNOWNS_BORNE: Final = 3
+MAX_UNANSWERED_ORDERS: Final = 3
 # An order may be carried out so many seconds after it was given, the known worst case and one more;
 # one meant for an earlier incarnation of the engine may then take effect on the next one, when that
 # has the sequence number named.
-ORDERS_LATE: Final = 13.0
+MAX_ORDER_DELAY: Final = 13.0
 # Places of an engine that are kept empty for that time: a load that comes on top of full places
 # crashes the engine. After each that takes effect the next own order is refused for its number, and
 # the report is read, so these can't pile up unseen.
-KEPT_FOR_LATE: Final = 2
-MODEL_POLL: Final = 0.4  # Seconds between reports while a base model is loaded; it takes seconds.
-REPORT_LAG_MOST: Final = 0.8  # Seconds after which a report shows all orders answered before.
-REPORT_EVERY: Final = 4.0  # Seconds between reports while all goes well; each one has a price.
-IDLE: Final = 0.3  # Seconds between looks while nothing is wished.
-WISH_VALID: Final = 0.4  # Seconds that a wish counts; requests repeat theirs while they need it.
+PLACES_FOR_LATE_ORDERS: Final = 2
+MODEL_POLL_INTERVAL: Final = (
+    0.4  # Seconds between reports while a base model is loaded; it takes seconds.
+)
+MAX_REPORT_LAG: Final = 0.8  # Seconds after which a report shows all orders answered before.
+REPORT_INTERVAL: Final = 4.0  # Seconds between reports while all goes well; each one has a price.
+IDLE_INTERVAL: Final = 0.3  # Seconds between looks while nothing is wished.
+LOAD_REQUEST_VALID: Final = (
+    0.4  # Seconds that a wish counts; requests repeat theirs while they need it.
+)
 HOST_COPIES: Final = 120  # Adapters that an engine keeps copies of, about.
 # Seconds after which a load that is late is expected again, at least, and as a share of what a load
 # takes: each try in vain spends the allowance of repeats.
-LATE_PAUSE: Final = 0.03
+MIN_LATE_PAUSE: Final = 0.03
 LATE_SHARE: Final = 0.15
 # Seconds within which it is known here that an engine refused a request for lack of an adapter.
-MISSED_WITHIN: Final = 0.08
-FETCH_FORGOTTEN: Final = 3.0  # Seconds after which a fetch that nobody used tells nothing.
+REFUSAL_KNOWN_WITHIN: Final = 0.08
+UNUSED_LOAD_TIMEOUT: Final = 3.0  # Seconds after which a fetch that nobody used tells nothing.
 LOAD_MARGIN: Final = 0.012  # Seconds added to a load's time, for the way of the order.
-RETRY: Final = 0.03  # Seconds until a wish is tried again that no place could be found for.
+RETRY_INTERVAL: Final = (
+    0.03  # Seconds until a wish is tried again that no place could be found for.
+)
 TIMER_SLACK: Final = 0.002  # Seconds added so that a timer is not early.
 
 
 @dataclass(slots=True)
-class Wish:
+class PendingLoad:
     """A request somewhere needs an adapter here."""
 
     priority: int
-    since: float
-    renewed: float
+    first_requested: float
+    last_requested: float
 
 
 @dataclass(slots=True)
-class Fetch:
+class ColdLoad:
     """A load that is not warm, until it is known whether it was there in time.
 
     Attributes:
@@ -90,12 +96,12 @@
         tried: Time of the first request sent after that; None before.
     """
 
-    under_way: int
+    concurrent_loads: int
     due: float
-    tried: float | None = None
+    first_used: float | None = None
 
 
-class Right(msgspec.Struct, frozen=True):
+class OrderAuthority(msgspec.Struct, frozen=True):
     """The right to order an engine, judged by the holder of the lease.
 
     Attributes:
@@ -103,11 +109,11 @@
         fence: Returns the fencing number; 0 when nothing may be ordered now.
     """
 
-    holder: str
+    owner: str
     fence: Callable[[], int]
 
 
-class Surroundings(msgspec.Struct, frozen=True):
+class ControllerContext(msgspec.Struct, frozen=True):
     """What an orderer uses of its instance.
 
     Attributes:
@@ -128,76 +134,82 @@
         rest_left: Returns the seconds for which an endpoint wants nothing from this instance.
     """
 
-    pools: Pools
+    pools: ConnectionPools
     dialect: Dialect
     metrics: Metrics
     record: Callable[[str], EndpointRecord | None]
     in_use: Callable[[str], set[AdapterName]]
-    outdated: Callable[[AdapterKey], bool]
-    publish: Callable[[PlacesNews], None]
-    news_pause: Callable[[], float]
-    pace: LoadPace
-    loads_under_way: Callable[[], int]
-    was_seen: Callable[[str, AdapterKey], bool]
-    model_turn: Callable[[], bool]
+    is_outdated: Callable[[AdapterKey], bool]
+    publish: Callable[[EngineUpdate], None]
+    update_interval: Callable[[], float]
+    load_times: LoadTimeEstimate
+    loads_in_progress: Callable[[], int]
+    was_loaded_before: Callable[[str, AdapterKey], bool]
+    may_load_model: Callable[[], bool]
     since_restart: Callable[[str], float]
-    noticed: Callable[[EndpointRecord, Notice], None]
-    rest_left: Callable[[str], float]
+    on_notice: Callable[[EndpointRecord, Notice], None]
+    cooldown_left: Callable[[str], float]
 
 
-class Orderer:
+class EngineController:
     """The holder's side of one engine."""
 
     __slots__ = (
-        "_accepted",
-        "_answered",
-        "_around",
+        "_authority",
         "_blocked_until",
         "_born",
-        "_busy",
-        "_conflicts",
+        "_cold_loads",
+        "_context",
+        "_cooldown_published",
         "_endpoint",
-        "_fetches",
+        "_executing_order",
+        "_failed_orders",
+        "_load_requests",
+        "_min_sequence",
         "_models",
-        "_news",
-        "_news_fence",
         "_places",
+        "_published_at",
         "_report_due",
-        "_rests",
-        "_right",
         "_sequence",
+        "_sequence_moved_at",
         "_spec",
-        "_told",
-        "_wake",
-        "_wishes",
+        "_update_fence",
+        "_update_number",
+        "_wake_event",
     )
 
-    def __init__(self, endpoint: str, spec: EngineSpec, right: Right, around: Surroundings) -> None:
+    def __init__(
+        self, endpoint: str, spec: EngineSpec, authority: OrderAuthority, context: ControllerContext
+    ) -> None:
         self._endpoint = endpoint
         self._spec = spec
-        self._right = right
-        self._around = around
+        self._authority = authority
+        self._context = context
         self._born = 0  # Start of the engine's incarnation; 0 when it does not say.
-        self._wishes: dict[AdapterKey, Wish] = {}
-        self._wake = asyncio.Event()
-        self._news = 0
-        self._news_fence = 0
-        self._told = 0.0
-        self._know_nothing()
-
-    def _know_nothing(self) -> None:
+        self._load_requests: dict[AdapterKey, PendingLoad] = {}
+        self._wake_event = asyncio.Event()
+        self._update_number = 0
+        self._update_fence = 0
+        self._published_at = 0.0
+        self._reset()
+
+    def _reset(self) -> None:
         """Sets what is believed of an engine of which nothing is known."""
-        self._places = Places(self._spec.places, HOST_COPIES)
+        self._places = AdapterPlaces(self._spec.places, HOST_COPIES)
         self._models: set[str] = set()
-        self._conflicts = 0  # Orders in a row that were not accepted.
+        self._failed_orders = 0  # Orders in a row that were not accepted.
         self._blocked_until = 0.0
-        self._busy = False  # Whether the engine carries out an order that keeps it from others.
+        self._executing_order = (
+            False  # Whether the engine carries out an order that keeps it from others.
+        )
         self._sequence: int | None = None  # None while it is in doubt.
-        self._accepted = 0  # Least sequence number that the engine can have, by its answers.
-        self._answered = 0.0  # Time of the last answer that moved it on.
-        self._fetches: dict[AdapterName, Fetch] = {}
+        self._min_sequence = 0  # Least sequence number that the engine can have, by its answers.
+        self._sequence_moved_at = 0.0  # Time of the last answer that moved it on.
+        self._cold_loads: dict[AdapterName, ColdLoad] = {}
         self._report_due = 0.0
-        self._rests = False  # Whether it was told that the engine wants no orders for a while.
+        self._cooldown_published = (
+            False  # Whether it was told that the engine wants no orders for a while.
+        )
 
     def _note_start(self, born: int) -> None:
         """Notes the start of the engine's incarnation, which may be a new one."""
@@ -205,144 +217,148 @@
             return
         if self._born:
             log("engine_restarted", "WARNING", endpoint=self._endpoint, sequence=self._sequence)
-            self._know_nothing()
+            self._reset()
         self._born = born
 
-    def wish(self, key: AdapterKey, priority: int, missing: bool) -> None:
+    def request_load(self, key: AdapterKey, priority: int, missing: bool) -> None:
         """Notes that a request needs an adapter; `missing` if the engine just refused one."""
         now = monotonic()
-        self._places.used(key.name, now)
-        pause = max(LATE_PAUSE, LATE_SHARE * self._around.pace.base)
-        if missing and not self._places.not_yet(key.name, now, pause):
+        self._places.record_use(key.name, now)
+        pause = max(MIN_LATE_PAUSE, LATE_SHARE * self._context.load_times.base_seconds)
+        if missing and not self._places.extend_load(key.name, now, pause):
             self._report_due = min(self._report_due, now)
         if missing:
             self._note_late(key.name)
-        wish = self._wishes.get(key)
+        wish = self._load_requests.get(key)
         if wish is None:
-            self._wishes[key] = Wish(priority, now, now)
+            self._load_requests[key] = PendingLoad(priority, now, now)
         else:
             wish.priority = min(wish.priority, priority)
-            wish.renewed = now
-        self._wake.set()
+            wish.last_requested = now
+        self._wake_event.set()
 
-    def look(self) -> None:
+    def wake(self) -> None:
         """Looks at the engine anew, as something about it has changed."""
-        self._wake.set()
+        self._wake_event.set()
 
-    def used(self, name: AdapterName) -> None:
+    def note_use(self, name: AdapterName) -> None:
         """Notes that a request is sent to the engine."""
         now = monotonic()
-        self._places.used(name, now)
-        fetch = self._fetches.get(name)
-        if fetch is not None and now >= fetch.due and fetch.tried is None:
-            fetch.tried = now
+        self._places.record_use(name, now)
+        fetch = self._cold_loads.get(name)
+        if fetch is not None and now >= fetch.due and fetch.first_used is None:
+            fetch.first_used = now
 
     def _note_late(self, name: AdapterName) -> None:
         """Learns that a fetch took longer than expected."""
-        fetch = self._fetches.pop(name, None)
-        if fetch is not None and fetch.tried is not None:
-            self._around.pace.late(fetch.under_way)
+        fetch = self._cold_loads.pop(name, None)
+        if fetch is not None and fetch.first_used is not None:
+            self._context.load_times.record_late(fetch.concurrent_loads)
 
     def _note_in_time(self) -> None:
         """Learns from the fetches whose copies were used and not missed."""
         now = monotonic()
-        for name, fetch in list(self._fetches.items()):
-            if fetch.tried is not None and now - fetch.tried > MISSED_WITHIN:
-                self._around.pace.in_time(fetch.under_way)
-                del self._fetches[name]
-            elif now - fetch.due > FETCH_FORGOTTEN:
-                del self._fetches[name]
+        for name, fetch in list(self._cold_loads.items()):
+            if fetch.first_used is not None and now - fetch.first_used > REFUSAL_KNOWN_WITHIN:
+                self._context.load_times.record_on_time(fetch.concurrent_loads)
+                del self._cold_loads[name]
+            elif now - fetch.due > UNUSED_LOAD_TIMEOUT:
+                del self._cold_loads[name]
 
     async def run(self) -> None:
         """Carries out wishes; runs until cancelled."""
         while True:
-            pause = await self._step()
+            pause = await self._run_once()
             self._note_in_time()
-            self._tell_in_turn()
+            self._publish_periodically()
             try:
                 async with asyncio.timeout(pause):
-                    await self._wake.wait()
+                    await self._wake_event.wait()
             except TimeoutError:
                 pass
-            self._wake.clear()
+            self._wake_event.clear()
 
-    async def _step(self) -> float:
+    async def _run_once(self) -> float:
         """Does what can be done now; returns the seconds until something may be due."""
         now = monotonic()
-        record = self._around.record(self._endpoint)
-        if record is None or not self._right.fence():
-            return IDLE
+        record = self._context.record(self._endpoint)
+        if record is None or not self._authority.fence():
+            return IDLE_INTERVAL
         self._note_start(record.born)
-        late = self._around.since_restart(self._endpoint) < ORDERS_LATE
-        self._places.capacity = max(1, self._spec.places - KEPT_FOR_LATE * late)
+        late = self._context.since_restart(self._endpoint) < MAX_ORDER_DELAY
+        self._places.capacity = max(1, self._spec.places - PLACES_FOR_LATE_ORDERS * late)
         if now < self._blocked_until:
             return self._blocked_until - now + TIMER_SLACK
-        rest = self._around.rest_left(self._endpoint)
+        rest = self._context.cooldown_left(self._endpoint)
         if rest:
-            self._tell_of_rest()
+            self._publish_cooldown()
             return rest + TIMER_SLACK
-        self._rests = False
+        self._cooldown_published = False
         if self._sequence is None or now >= self._report_due:
-            if not await self._learn(record):
+            if not await self._read_report(record):
                 return REPORT_LAG
-            self._tell()
+            self._publish_update()
         if self._missing_model() is not None:
             return await self._load_model(record)
-        return await self._serve_wishes(record)
+        return await self._serve_load_requests(record)
 
-    async def _serve_wishes(self, record: EndpointRecord) -> float:
-        pause = IDLE
-        for key in self._wishes_in_order():
+    async def _serve_load_requests(self, record: EndpointRecord) -> float:
+        pause = IDLE_INTERVAL
+        for key in self._load_requests_in_order():
             now = monotonic()
             if self._places.holds(key):
-                self._wishes.pop(key, None)
-                self._tell()
+                self._load_requests.pop(key, None)
+                self._publish_update()
                 continue
-            if self._places.in_transit(now) >= LOADS_AT_ONCE:
-                return min(left for _, left in self._places.loading(now)) + TIMER_SLACK
-            if self._places.takes_place(key.name):
-                if not await self._drop_old_version(record, key):
+            if self._places.loading_count(now) >= MAX_CONCURRENT_LOADS:
+                return min(left for _, left in self._places.loading_copies(now)) + TIMER_SLACK
+            if self._places.has_place(key.name):
+                if not await self._unload_other_version(record, key):
                     continue
-            elif self._places.free() <= 0 and not await self._make_room(record):
-                return RETRY
+            elif self._places.free_count() <= 0 and not await self._make_room(record):
+                return RETRY_INTERVAL
             if not await self._load(record, key):
-                return RETRY
-            self._wishes.pop(key, None)
-            self._tell()
+                return RETRY_INTERVAL
+            self._load_requests.pop(key, None)
+            self._publish_update()
         return pause
 
-    async def _drop_old_version(self, record: EndpointRecord, key: AdapterKey) -> bool:
+    async def _unload_other_version(self, record: EndpointRecord, key: AdapterKey) -> bool:
         """Unloads another version of an adapter; False while requests use it.
 
         An engine that is ordered to replace a copy in use takes no other order until the last of
         its requests has ended, which takes seconds.
         """
-        if key.name in self._around.in_use(self._endpoint):
+        if key.name in self._context.in_use(self._endpoint):
             return False
-        old = self._places.copy(key.name)
+        old = self._places.copy_of(key.name)
         return old is not None and await self._unload(record, old)
 
-    def _wishes_in_order(self) -> list[AdapterKey]:
+    def _load_requests_in_order(self) -> list[AdapterKey]:
         now = monotonic()
-        for key in [k for k, w in self._wishes.items() if now - w.renewed > WISH_VALID]:
-            del self._wishes[key]
-        waiting = self._wishes
-        return sorted(waiting, key=lambda key: (waiting[key].priority, waiting[key].since))
+        for key in [
+            k for k, w in self._load_requests.items() if now - w.last_requested > LOAD_REQUEST_VALID
+        ]:
+            del self._load_requests[key]
+        waiting = self._load_requests
+        return sorted(
+            waiting, key=lambda key: (waiting[key].priority, waiting[key].first_requested)
+        )
 
     async def _make_room(self, record: EndpointRecord) -> bool:
         now = monotonic()
-        spared = self._around.in_use(self._endpoint) | {key.name for key in self._wishes}
-        loaded = self._places.ready(now)
-        outdated = {key.name for key in loaded if self._around.outdated(key)}
-        victim = self._places.victim(spared, outdated, now)
+        spared = self._context.in_use(self._endpoint) | {key.name for key in self._load_requests}
+        loaded = self._places.ready_copies(now)
+        outdated = {key.name for key in loaded if self._context.is_outdated(key)}
+        victim = self._places.choose_victim(spared, outdated, now)
         if victim is None:
             return False
         return await self._unload(record, victim)
 
     async def _unload(self, record: EndpointRecord, victim: AdapterKey) -> bool:
-        result = await self._order(record, load=False, key=victim)
+        result = await self._send_order(record, load=False, key=victim)
         if result is OrderResult.HOLDS:
-            self._places.gone(victim.name)
+            self._places.remove(victim.name)
             return True
         if result is OrderResult.STARTED:
             # It ends when requests that use it have ended; a report will show that.
@@ -350,31 +366,33 @@
         return False
 
     async def _load(self, record: EndpointRecord, key: AdapterKey) -> bool:
-        warm = self._places.warm(key.name) or self._around.was_seen(self._endpoint, key)
-        result = await self._order(record, load=True, key=key)
+        warm = self._places.is_warm(key.name) or self._context.was_loaded_before(
+            self._endpoint, key
+        )
+        result = await self._send_order(record, load=True, key=key)
         now = monotonic()
         if result is OrderResult.STARTED:
-            under_way = self._around.loads_under_way()
-            takes = self._around.pace.expected(warm, under_way) + LOAD_MARGIN
-            self._places.began(key, now, takes)
+            under_way = self._context.loads_in_progress()
+            takes = self._context.load_times.expected_seconds(warm, under_way) + LOAD_MARGIN
+            self._places.begin_load(key, now, takes)
             if not warm:
-                self._fetches[key.name] = Fetch(under_way, now + takes)
+                self._cold_loads[key.name] = ColdLoad(under_way, now + takes)
             return True
         if result is OrderResult.HOLDS:
-            self._places.there(key, now)
+            self._places.mark_ready(key, now)
             return True
         return False
 
     async def _load_model(self, record: EndpointRecord) -> float:
         model = self._missing_model()
-        if model is None or self._busy or not self._around.model_turn():
-            return MODEL_POLL
-        result = await self._order(record, load=True, key=AdapterKey(model.name, "", 0))
+        if model is None or self._executing_order or not self._context.may_load_model():
+            return MODEL_POLL_INTERVAL
+        result = await self._send_order(record, load=True, key=AdapterKey(model.name, "", 0))
         if result in (OrderResult.STARTED, OrderResult.HOLDS):
             # Until a report shows the model, or that nothing is under way, nothing is ordered.
-            self._busy = True
-            self._report_due = monotonic() + max(REPORT_LAG_MOST, model.load_time)
-        return MODEL_POLL
+            self._executing_order = True
+            self._report_due = monotonic() + max(MAX_REPORT_LAG, model.load_time)
+        return MODEL_POLL_INTERVAL
 
     def _missing_model(self) -> ModelSpec | None:
         """Returns the model to load on an engine that has none."""
@@ -382,13 +400,13 @@
             return None
         return self._spec.models[0]
 
-    async def _order(self, record: EndpointRecord, load: bool, key: AdapterKey) -> OrderResult:
-        fence = self._right.fence()
+    async def _send_order(self, record: EndpointRecord, load: bool, key: AdapterKey) -> OrderResult:
+        fence = self._authority.fence()
         if not fence:
             return OrderResult.REFUSED
-        order = Order(load, key, self._right.holder, fence, self._sequence)
-        body = self._around.dialect.order_body(order)
-        path = self._around.dialect.order_path
+        order = Order(load, key, self._authority.owner, fence, self._sequence)
+        body = self._context.dialect.order_body(order)
+        path = self._context.dialect.order_path
         answer = await self._call(
             record, "POST", path, body, ORDER_TIMEOUT, lambda: self._may_order(fence)
         )
@@ -396,8 +414,8 @@
         if not answer.sent:
             result = OrderResult.REFUSED
         elif answer.status:
-            result = self._around.dialect.order_result(answer.status)
-        self._ordered(order, result, answer.status)
+            result = self._context.dialect.order_result(answer.status)
+        self._note_result(order, result, answer.status)
         return result
 
     async def _call(
@@ -408,24 +426,24 @@
         body: bytes,
         timeout: float,
         may_send: Callable[[], bool],
-    ) -> CallAnswer:
+    ) -> CallResult:
         """Calls the engine, and takes up what its answer says of it."""
-        around = self._around
-        answer = await call(
+        around = self._context
+        answer = await call_endpoint(
             around.pools, around.dialect, record, method, path, body, timeout, may_send
         )
         if answer.notice is not None:
-            around.noticed(record, answer.notice)
+            around.on_notice(record, answer.notice)
         return answer
 
-    def _is_welcome(self) -> bool:
+    def _accepts_calls(self) -> bool:
         """Tells whether the engine takes calls from this instance now."""
-        return not self._around.rest_left(self._endpoint)
+        return not self._context.cooldown_left(self._endpoint)
 
     def _may_order(self, fence: int) -> bool:
-        return self._right.fence() == fence and self._is_welcome()
+        return self._authority.fence() == fence and self._accepts_calls()
 
-    def _ordered(self, order: Order, result: OrderResult, status: int) -> None:
+    def _note_result(self, order: Order, result: OrderResult, status: int) -> None:
         log(
             "order",
             endpoint=self._endpoint,
@@ -438,46 +456,46 @@
             result=result.value,
             status=status,
         )
-        self._around.metrics.orders.labels("load" if order.load else "unload", result.value).inc()
+        self._context.metrics.orders.labels("load" if order.load else "unload", result.value).inc()
         if result in (OrderResult.STARTED, OrderResult.HOLDS):
             if result is OrderResult.STARTED or not order.load:
-                self._accepted += 1
-                self._sequence = self._accepted
-                self._answered = monotonic()
-            self._conflicts = 0
+                self._min_sequence += 1
+                self._sequence = self._min_sequence
+                self._sequence_moved_at = monotonic()
+            self._failed_orders = 0
             return
-        self._conflicts += 1
-        if result is OrderResult.UNKNOWN and self._conflicts <= UNKNOWNS_BORNE:
+        self._failed_orders += 1
+        if result is OrderResult.UNKNOWN and self._failed_orders <= MAX_UNANSWERED_ORDERS:
             # If it took effect, the next order meets a number that has moved on; if not, the next
             # one moves it on, and it never can. So nothing has to be read for now.
             return
         # What is believed of the engine is doubtful.
         self._sequence = None
-        pause = min(CONFLICT_MOST, CONFLICT_PAUSE * 2.0 ** (self._conflicts - 1))
+        pause = min(MAX_CONFLICT_PAUSE, MIN_CONFLICT_PAUSE * 2.0 ** (self._failed_orders - 1))
         self._blocked_until = monotonic() + pause
 
-    async def _learn(self, record: EndpointRecord) -> bool:
+    async def _read_report(self, record: EndpointRecord) -> bool:
         """Reads the engine's report; returns whether it shows all orders given."""
-        path = self._around.dialect.report_path
-        answer = await self._call(record, "GET", path, b"", REPORT_TIMEOUT, self._is_welcome)
-        self._around.metrics.reports.inc()
+        path = self._context.dialect.report_path
+        answer = await self._call(record, "GET", path, b"", REPORT_TIMEOUT, self._accepts_calls)
+        self._context.metrics.reports.inc()
         if answer.status != 200:
             log("report_failed", "WARNING", endpoint=self._endpoint, status=answer.status)
             self._report_due = monotonic() + REPORT_LAG
             return False
         try:
-            report = self._around.dialect.decode_report(answer.body)
+            report = self._context.dialect.decode_report(answer.body)
         except ValueError as exc:
             log("report_unreadable", "ERROR", endpoint=self._endpoint, reason=str(exc))
             return False
-        return self._adopt(report)
+        return self._apply_report(report)
 
-    def _adopt(self, report: EngineReport) -> bool:
+    def _apply_report(self, report: EngineReport) -> bool:
         now = monotonic()
         if report.born and report.born < self._born:
             return False  # Of an earlier incarnation.
         self._note_start(report.born)
-        if report.sequence < self._accepted and now - self._answered < REPORT_LAG_MOST:
+        if report.sequence < self._min_sequence and now - self._sequence_moved_at < MAX_REPORT_LAG:
             # Sampled before the last order that the engine accepted: it tells nothing new. Later
             # the report is right, and what was counted was not: some answers move nothing on.
             self._report_due = now + REPORT_LAG
@@ -492,54 +510,54 @@
             pending=len(report.pending),
             models=len(report.models),
         )
-        self._sequence = self._accepted = report.sequence
+        self._sequence = self._min_sequence = report.sequence
         self._models = {model.model for model in report.models}
-        self._places.adopt(held, report.pending, now)
-        self._busy = report.busy
-        self._report_due = now + (MODEL_POLL if report.busy else REPORT_EVERY)
+        self._places.adopt_report(held, report.pending, now)
+        self._executing_order = report.busy
+        self._report_due = now + (MODEL_POLL_INTERVAL if report.busy else REPORT_INTERVAL)
         return True
 
-    def _tell_of_rest(self) -> None:
+    def _publish_cooldown(self) -> None:
         """Tells, once for each rest, that no loads can be asked for, so that nobody waits."""
-        if not self._rests:
-            self._rests = True
-            self._tell()
+        if not self._cooldown_published:
+            self._cooldown_published = True
+            self._publish_update()
 
-    def _tell_in_turn(self) -> None:
-        if monotonic() - self._told >= self._around.news_pause():
-            self._tell()
+    def _publish_periodically(self) -> None:
+        if monotonic() - self._published_at >= self._context.update_interval():
+            self._publish_update()
 
-    def _tell(self) -> None:
+    def _publish_update(self) -> None:
         now = monotonic()
-        fence = self._right.fence()
-        if fence and fence != self._news_fence:
-            self._news_fence = fence
-            self._news = 0
-        self._news += 1
-        self._told = now
-        in_use = self._around.in_use(self._endpoint)
+        fence = self._authority.fence()
+        if fence and fence != self._update_fence:
+            self._update_fence = fence
+            self._update_number = 0
+        self._update_number += 1
+        self._published_at = now
+        in_use = self._context.in_use(self._endpoint)
         models = sorted(self._models)
         place = {model: number for number, model in enumerate(models)}
-        news = PlacesNews(
-            sender=self._right.holder,
+        news = EngineUpdate(
+            sender=self._authority.owner,
             endpoint=self._endpoint,
-            fence=self._news_fence,
-            number=self._news,
+            fence=self._update_fence,
+            number=self._update_number,
             models=models,
             ready=[
                 (place[key.model], key.adapter, key.version)
-                for key in self._places.ready(now)
+                for key in self._places.ready_copies(now)
                 if key.model in place
             ],
             loading=[
                 (place[key.model], key.adapter, key.version, int(left * 1000))
-                for key, left in self._places.loading(now)
+                for key, left in self._places.loading_copies(now)
                 if key.model in place
             ],
-            free=self._places.idle(in_use, now),
-            orders=bool(fence) and self._sequence is not None and self._is_welcome(),
+            free_places=self._places.evictable_count(in_use, now),
+            accepts_loads=bool(fence) and self._sequence is not None and self._accepts_calls(),
             born=self._born,
-            load_ms=int(self._around.pace.base * 1000),
+            load_ms=int(self._context.load_times.base_seconds * 1000),
         )
-        if self._news_fence:
-            self._around.publish(news)
+        if self._update_fence:
+            self._context.publish(news)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/engineviews.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/engineviews.py
@@ -13,17 +13,17 @@
 from typing import Final
 
 from wigeonarch_core.engine_places import AdapterKey, AdapterName, satisfies
-from wigeonarch_core.load_pace import COLD_LOAD
+from wigeonarch_core.load_time import COLD_LOAD
 from wigeonarch_runtime.clock import monotonic
 
-from wigeonarch_gateway.messages import Adapter, PlacesNews
+from wigeonarch_gateway.messages import Adapter, EngineUpdate
 
 # Adapters per engine that are remembered as having been there.
-REMEMBERED: Final = 120
+MAX_SEEN_ADAPTERS: Final = 120
 # Seconds within which an engine that lacks an adapter has refused a request.
-TRIAL: Final = 0.008
+TRIAL_TIME: Final = 0.008
 # News are repeated every one to three seconds, so a holder without any for so long is not heard.
-NEWS_VALID: Final = 6.0  # Seconds.
+UPDATE_VALID: Final = 6.0  # Seconds.
 NEVER: Final = float("-inf")  # Before all times.
 
 
@@ -49,44 +49,44 @@
         load_time: Seconds of a load that must be fetched, while few others are.
     """
 
-    holder: str = ""
+    owner: str = ""
     fence: int = 0
-    number: int = 0
-    heard: float = NEVER
+    update_number: int = 0
+    last_update: float = NEVER
     models: frozenset[str] = frozenset()
     ready: dict[AdapterName, int] = field(default_factory=dict)
     loading: dict[AdapterKey, float] = field(default_factory=dict)
-    free: int = 0
-    orders: bool = False
+    free_places: int = 0
+    accepts_loads: bool = False
     seen: OrderedDict[AdapterName, None] = field(default_factory=OrderedDict)
-    tried: dict[AdapterName, float] = field(default_factory=dict)
-    began: dict[AdapterName, float] = field(default_factory=dict)
-    told: tuple[list[str], list[tuple[int, str, int]]] | None = None
+    trials: dict[AdapterName, float] = field(default_factory=dict)
+    loads_began: dict[AdapterName, float] = field(default_factory=dict)
+    last_reported: tuple[list[str], list[tuple[int, str, int]]] | None = None
     born: int = 0
     load_time: float = COLD_LOAD
 
-    def names(self) -> set[AdapterName]:
+    def adapter_names(self) -> set[AdapterName]:
         """Returns the adapters that it holds or that are on their way."""
         return {*self.ready, *(key.name for key in self.loading)}
 
-    def holds(self, key: AdapterKey, now: float) -> bool:
+    def can_serve(self, key: AdapterKey, now: float) -> bool:
         """Tells whether requests for an adapter can be sent.
 
         When a load should have ended, one request goes first; the others follow if it was not
         refused within the time of an answer.
         """
         name = key.name
-        if self.tried and now - self.tried.get(name, NEVER) < TRIAL:
+        if self.trials and now - self.trials.get(name, NEVER) < TRIAL_TIME:
             return False
         held = self.ready.get(name)
         if held is not None and satisfies(held, key.version):
             return True
         return bool(self.loading) and self.loading.get(key, float("inf")) <= now
 
-    def sending(self, key: AdapterKey, now: float) -> None:
+    def note_sending(self, key: AdapterKey, now: float) -> None:
         """Notes that a request is sent; the first one after a load is a trial."""
-        if key in self.loading and key.name not in self.tried:
-            self.tried[key.name] = now
+        if key in self.loading and key.name not in self.trials:
+            self.trials[key.name] = now
 
     def loading_left(self, key: AdapterKey, now: float) -> float | None:
         """Returns the seconds until a load ends; None when none is under way."""
@@ -95,16 +95,16 @@
         ready_at = self.loading.get(key)
         return None if ready_at is None else max(0.0, ready_at - now)
 
-    def loadable(self, now: float) -> bool:
+    def can_request_load(self, now: float) -> bool:
         """Tells whether the holder can be asked for a load."""
-        return self.orders and now - self.heard < NEWS_VALID
+        return self.accepts_loads and now - self.last_update < UPDATE_VALID
 
     def replaces(self, key: AdapterKey) -> bool:
         """Tells whether the engine holds a version that does not serve a request."""
         held = self.ready.get(key.name)
         return held is not None and not satisfies(held, key.version)
 
-    def warm(self, key: AdapterKey) -> bool:
+    def is_warm(self, key: AdapterKey) -> bool:
         """Tells whether the adapter was there before."""
         return key.name in self.seen
 
@@ -136,57 +136,60 @@
             view = self._views[endpoint] = EngineView()
         return view
 
-    def news(self, news: PlacesNews) -> None:
+    def apply_update(self, update: EngineUpdate) -> None:
         """Takes over what a holder tells; news of an older holder or out of order are void.
 
         So are those of an earlier incarnation of the engine; the first ones of a new incarnation
         end all that is believed of the one before.
         """
-        view = self.get(news.endpoint)
-        if news.born < view.born or (news.fence, news.number) <= (view.fence, view.number):
+        view = self.get(update.endpoint)
+        if update.born < view.born or (update.fence, update.number) <= (
+            view.fence,
+            view.update_number,
+        ):
             return
         if view.born:
-            self.restarted(news.endpoint, news.born)
-            view = self.get(news.endpoint)
-        view.born = news.born
+            self.note_restart(update.endpoint, update.born)
+            view = self.get(update.endpoint)
+        view.born = update.born
         now = monotonic()
-        view.holder = news.sender
-        view.fence = news.fence
-        view.number = news.number
-        view.heard = now
+        view.owner = update.sender
+        view.fence = update.fence
+        view.update_number = update.number
+        view.last_update = now
         # Most news repeat what is known.
-        if news.loading or view.loading or view.told != (news.models, news.ready):
-            self._take_places(view, news, now)
-        if view.tried:
-            view.tried = {name: at for name, at in view.tried.items() if now - at < TRIAL}
-        view.free = news.free
-        view.orders = news.orders
-        view.load_time = news.load_ms / 1000 or COLD_LOAD
-        self.wake(news.endpoint)
-
-    def _take_places(self, view: EngineView, news: PlacesNews, now: float) -> None:
-        models = news.models
-        before = view.names()
-        view.told = (models, news.ready)
+        if update.loading or view.loading or view.last_reported != (update.models, update.ready):
+            self._take_places(view, update, now)
+        if view.trials:
+            view.trials = {name: at for name, at in view.trials.items() if now - at < TRIAL_TIME}
+        view.free_places = update.free_places
+        view.accepts_loads = update.accepts_loads
+        view.load_time = update.load_ms / 1000 or COLD_LOAD
+        self.wake(update.endpoint)
+
+    def _take_places(self, view: EngineView, update: EngineUpdate, now: float) -> None:
+        models = update.models
+        before = view.adapter_names()
+        view.last_reported = (models, update.ready)
         view.models = frozenset(models)
-        view.ready = {(models[place], name): version for place, name, version in news.ready}
+        view.ready = {(models[place], name): version for place, name, version in update.ready}
         view.loading = {
             AdapterKey(models[place], name, version): now + ms / 1000
-            for place, name, version, ms in news.loading
+            for place, name, version, ms in update.loading
         }
-        view.began = {key.name: view.began.get(key.name, now) for key in view.loading}
+        view.loads_began = {key.name: view.loads_began.get(key.name, now) for key in view.loading}
         # What stays is remembered as it leaves.
-        for name in before ^ view.names():
+        for name in before ^ view.adapter_names():
             self._remember(view, name)
 
-    def unheard(self, holder: str) -> None:
+    def note_owner_silent(self, owner: str) -> None:
         """Notes that a holder is not heard any more: nobody can be asked for loads there."""
         for endpoint, view in self._views.items():
-            if view.holder == holder:
-                view.orders = False
+            if view.owner == owner:
+                view.accepts_loads = False
                 self.wake(endpoint)
 
-    def first_seen(
+    def take_self_description(
         self, endpoint: str, models: frozenset[str], ready: dict[AdapterName, int]
     ) -> None:
         """Takes over what an endpoint said of itself, until its holder is heard."""
@@ -197,17 +200,17 @@
         view.ready = ready
         self.wake(endpoint)
 
-    def refuted(self, endpoint: str, key: AdapterKey, pause: float) -> None:
+    def note_missing_adapter(self, endpoint: str, key: AdapterKey, pause: float) -> None:
         """Notes that an engine refused a request for lack of an adapter."""
         view = self.get(endpoint)
-        view.tried.pop(key.name, None)
+        view.trials.pop(key.name, None)
         if key in view.loading:
             view.loading[key] = monotonic() + pause
         else:
             view.ready.pop(key.name, None)
-            view.told = None
+            view.last_reported = None
 
-    def loads_under_way(self) -> int:
+    def loads_in_progress(self) -> int:
         """Returns the loads begun within the time that a fetch takes, over all engines.
 
         Loads that are late are not counted: their lateness would lengthen what is expected of the
@@ -215,21 +218,23 @@
         """
         now = monotonic()
         return sum(
-            now - at < view.load_time for view in self._views.values() for at in view.began.values()
+            now - at < view.load_time
+            for view in self._views.values()
+            for at in view.loads_began.values()
         )
 
-    def remembered(self) -> list[tuple[str, list[AdapterName]]]:
+    def seen_adapters(self) -> list[tuple[str, list[AdapterName]]]:
         """Returns the adapters that each engine was seen with, to tell an instance that starts."""
         return [(endpoint, list(view.seen)) for endpoint, view in self._views.items() if view.seen]
 
-    def remember(self, endpoint: str, names: list[AdapterName]) -> None:
+    def add_seen_adapters(self, endpoint: str, names: list[AdapterName]) -> None:
         """Takes over what another instance saw before this one started."""
         view = self.get(endpoint)
         known = list(view.seen)
         for name in (*names, *known):
             self._remember(view, name)
 
-    def restarted(self, endpoint: str, born: int) -> None:
+    def note_restart(self, endpoint: str, born: int) -> None:
         """Forgets what was believed of an engine before its incarnation that started at `born`.
 
         Its holder goes on with the same numbers, so these stay.
@@ -238,7 +243,7 @@
         if old.born >= born:
             return
         self._views[endpoint] = EngineView(
-            holder=old.holder, fence=old.fence, number=old.number, born=born
+            owner=old.owner, fence=old.fence, update_number=old.update_number, born=born
         )
         self.wake(endpoint)
 
@@ -253,7 +258,7 @@
             if not fut.done() and (not endpoint or awaited in ("", endpoint)):
                 fut.set_result(None)
 
-    async def change(self, timeout: float, endpoint: str = "") -> None:
+    async def wait_for_change(self, timeout: float, endpoint: str = "") -> None:
         """Waits until the view of an engine, or any, changes; at most so many seconds."""
         fut: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters[fut] = endpoint
@@ -268,5 +273,5 @@
     def _remember(self, view: EngineView, name: AdapterName) -> None:
         view.seen[name] = None
         view.seen.move_to_end(name)
-        while len(view.seen) > REMEMBERED:
+        while len(view.seen) > MAX_SEEN_ADAPTERS:
             view.seen.popitem(last=False)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/events.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/events.py
@@ -16,33 +16,33 @@
         count: Whole events so far.
     """
 
-    __slots__ = ("_rest", "count", "last_id")
+    __slots__ = ("_partial", "count", "last_id")
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
         self.last_id = ""
         self.count = 0
 
     def feed(self, data: bytes) -> bytes:
         """Takes bytes and returns the whole events that they complete."""
-        data = self._rest + data if self._rest else data
+        data = self._partial + data if self._partial else data
         end = data.rfind(END)
         if end < 0:
-            self._rest = data
+            self._partial = data
             return b""
         whole = data[: end + len(END)]
-        self._rest = data[end + len(END) :]
+        self._partial = data[end + len(END) :]
         self.count += whole.count(END)
         self._note_id(whole)
         return whole
 
-    def drop_rest(self) -> None:
+    def discard_partial(self) -> None:
         """Forgets the beginning of an event whose stream broke off."""
-        self._rest = b""
+        self._partial = b""
 
-    def rest(self) -> bytes:
+    def take_partial(self) -> bytes:
         """Returns and forgets what follows the last whole event."""
-        data, self._rest = self._rest, b""
+        data, self._partial = self._partial, b""
         return data
 
     def _note_id(self, whole: bytes) -> None:
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/exchange.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/exchange.py
@@ -10,7 +10,7 @@
 from wigeonarch_gateway.ports import Headers
 
 
-class Incoming(msgspec.Struct, frozen=True):
+class CallerRequest(msgspec.Struct, frozen=True):
     """A whole request of a caller.
 
     Attributes:
@@ -37,24 +37,24 @@
         return self.target.partition("?")[0]
 
 
-class Answer(Protocol):
+class ResponseWriter(Protocol):
     """Where the answer goes."""
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Tells whether a part of the answer was sent."""
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send(self, status: int, headers: Headers, body: bytes) -> None:
         """Sends a whole answer."""
 
-    async def begin(self, status: int, headers: Headers) -> None:
+    async def start(self, status: int, headers: Headers) -> None:
         """Sends the head of an answer whose body follows in parts."""
 
     async def write(self, data: bytes) -> None:
         """Sends a part of the body."""
 
-    async def end(self) -> None:
+    async def finish(self) -> None:
         """Ends the answer as complete."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Ends the connection, so that the answer does not look complete."""
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/door.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/http_server.py
@@ -21,71 +21,71 @@
 from wigeonarch_runtime.logs import log
 
 from wigeonarch_gateway import texts
-from wigeonarch_gateway.exchange import Answer, Incoming
+from wigeonarch_gateway.exchange import CallerRequest, ResponseWriter
 from wigeonarch_gateway.ports import Headers
 
 # Longer than any caller reuses an idle connection, in seconds; the configuration bounds that.
-KEEP_ALIVE: Final = 75.0
-LARGEST_HEADER: Final = 65_536
-BACKLOG: Final = 1_024
+KEEP_ALIVE_TIMEOUT: Final = 75.0
+MAX_HEADER_BYTES: Final = 65_536
+LISTEN_BACKLOG: Final = 1_024
 
-Serve = Callable[[Incoming, Answer], Awaitable[None]]
+RequestHandlerFunction = Callable[[CallerRequest, ResponseWriter], Awaitable[None]]
 
 
-class _Reply:
+class _ResponseWriter:
     """The answer to one request."""
 
-    __slots__ = ("_closing", "_request", "_resp")
+    __slots__ = ("_is_draining", "_request", "_response")
 
     def __init__(self, request: web.BaseRequest, closing: Callable[[], bool]) -> None:
         self._request = request
-        self._closing = closing
-        self._resp: web.StreamResponse | None = None
+        self._is_draining = closing
+        self._response: web.StreamResponse | None = None
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Tells whether a part of the answer was sent."""
-        return self._resp is not None
+        return self._response is not None
 
     @property
     def response(self) -> web.StreamResponse | None:
         """Returns what the server has to finish."""
-        return self._resp
+        return self._response
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send(self, status: int, headers: Headers, body: bytes) -> None:
         """Sends a whole answer."""
-        self._resp = web.Response(status=status, headers=_headers(headers), body=body)
+        self._response = web.Response(status=status, headers=_header_multidict(headers), body=body)
         await self._prepare()
-        await self._resp.write_eof()
+        await self._response.write_eof()
 
-    async def begin(self, status: int, headers: Headers) -> None:
+    async def start(self, status: int, headers: Headers) -> None:
         """Sends the head of an answer whose body follows in parts."""
-        self._resp = web.StreamResponse(status=status, headers=_headers(headers))
+        self._response = web.StreamResponse(status=status, headers=_header_multidict(headers))
         await self._prepare()
 
     async def write(self, data: bytes) -> None:
         """Sends a part of the body."""
-        assert self._resp is not None
-        await self._resp.write(data)
+        assert self._response is not None
+        await self._response.write(data)
 
-    async def end(self) -> None:
+    async def finish(self) -> None:
         """Ends the answer as complete."""
-        assert self._resp is not None
-        await self._resp.write_eof()
+        assert self._response is not None
+        await self._response.write_eof()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Ends the connection, so that the answer does not look complete."""
         if self._request.transport is not None:
             self._request.transport.close()
 
     async def _prepare(self) -> None:
-        assert self._resp is not None
-        if self._closing():
-            self._resp.force_close()
-        await self._resp.prepare(self._request)
+        assert self._response is not None
+        if self._is_draining():
+            self._response.force_close()
+        await self._response.prepare(self._request)
 
 
-class Door:
+class HttpServer:
     """The server for callers.
 
     Attributes:
@@ -93,38 +93,40 @@
         closing: Whether callers are asked to go elsewhere.
     """
 
-    def __init__(self, serve: Serve, body_most: Callable[[], int]) -> None:
+    def __init__(self, serve: RequestHandlerFunction, body_most: Callable[[], int]) -> None:
         """Makes a door; `body_most` returns the largest body that is allowed, in bytes."""
         self._serve = serve
-        self._body_most = body_most
+        self._max_body_bytes = body_most
         self._server: asyncio.Server | None = None
-        self._web = web.Server(
+        self._aiohttp_server = web.Server(
             self._handle,
-            request_factory=self._request,
+            request_factory=self._make_request,
             handler_cancellation=True,
-            keepalive_timeout=KEEP_ALIVE,
+            keepalive_timeout=KEEP_ALIVE_TIMEOUT,
             auto_decompress=False,
-            max_line_size=LARGEST_HEADER,
-            max_field_size=LARGEST_HEADER,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
             access_log=None,
         )
-        self._busy: set[RequestHandler] = set()
+        self._busy_connections: set[RequestHandler] = set()
         self.in_progress = 0
-        self.closing = False
+        self.draining = False
 
-    async def open(self, host: str, port: int) -> None:
+    async def listen(self, host: str, port: int) -> None:
         """Listens for callers."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._web, host, port, backlog=BACKLOG)
+        self._server = await loop.create_server(
+            self._aiohttp_server, host, port, backlog=LISTEN_BACKLOG
+        )
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Takes no new callers and ends each open connection as soon as it is idle."""
         if self._server is not None:
             self._server.close()
-        for conn in list(self._web.connections):
+        for conn in list(self._aiohttp_server.connections):
             # A request that was parsed but not begun is in the connection's queue, which has no
             # public name; ending such a connection would cut a request off.
-            if conn in self._busy or conn._messages:
+            if conn in self._busy_connections or conn._messages:
                 conn.close()
             else:
                 conn.force_close()
@@ -133,28 +135,28 @@
         """Stops listening and ends what is still open."""
         if self._server is not None:
             self._server.close()
-        await self._web.shutdown(0.2)
+        await self._aiohttp_server.shutdown(0.2)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         received = monotonic()
-        reply = _Reply(request, lambda: self.closing)
+        reply = _ResponseWriter(request, lambda: self.draining)
         self.in_progress += 1
         try:
-            body = await self._body(request)
+            body = await self._read_body(request)
             if body is None:
-                await reply.whole(413, [], texts.BODY_TOO_LARGE.encode())
+                await reply.send(413, [], texts.BODY_TOO_LARGE.encode())
             else:
-                await self._serve(_incoming(request, body, received), reply)
+                await self._serve(_caller_request(request, body, received), reply)
         except (ConnectionError, RuntimeError) as exc:
             # The caller's connection ended while its answer was written.
             log("caller_gone", "DEBUG", reason=repr(exc))
-            reply.cut()
+            reply.abort()
         finally:
             self.in_progress -= 1
-            self._busy.discard(request.protocol)
+            self._busy_connections.discard(request.protocol)
         return reply.response or web.Response(status=500)
 
-    def _request(
+    def _make_request(
         self,
         message: RawRequestMessage,
         payload: StreamReader,
@@ -162,11 +164,11 @@
         writer: AbstractStreamWriter,
         task: asyncio.Task[None],
     ) -> web.BaseRequest:
-        self._busy.add(protocol)
+        self._busy_connections.add(protocol)
         loop = asyncio.get_running_loop()
         return web.BaseRequest(message, payload, protocol, writer, task, loop)
 
-    async def _body(self, request: web.BaseRequest) -> bytes | None:
+    async def _read_body(self, request: web.BaseRequest) -> bytes | None:
         """Returns the whole body, or None when it is too large."""
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -177,16 +179,16 @@
         async for part in request.content.iter_any():
             parts.append(part)
             size += len(part)
-            if size > self._body_most():
+            if size > self._max_body_bytes():
                 return None
         return b"".join(parts)
 
 
-def _incoming(request: web.BaseRequest, body: bytes, received: float) -> Incoming:
+def _caller_request(request: web.BaseRequest, body: bytes, received: float) -> CallerRequest:
     headers: dict[str, str] = {}
     for name, value in request.headers.items():
         headers.setdefault(name.lower(), value)
-    return Incoming(
+    return CallerRequest(
         request.method,
         request.raw_path,
         headers.get("host", ""),
@@ -197,7 +199,7 @@
     )
 
 
-def _headers(headers: Headers) -> CIMultiDict[str]:
+def _header_multidict(headers: Headers) -> CIMultiDict[str]:
     found: CIMultiDict[str] = CIMultiDict()
     for name, value in headers:
         found.add(name.decode("latin-1"), value.decode("latin-1"))
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/counting.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/instrumented_store.py
@@ -20,8 +20,8 @@
     Changes,
     Conflict,
     HistoryGone,
-    Kinds,
     Listing,
+    ObjectKind,
     ObjectStore,
     StoredObject,
     Unavailable,
@@ -30,7 +30,7 @@
 Result = TypeVar("Result")
 
 
-class CountedStore:
+class InstrumentedStore:
     """A store whose calls are counted.
 
     Attributes:
@@ -51,54 +51,56 @@
         """Returns the latest era of the store; None before its first answer."""
         return self._store.era
 
-    async def list(self, kind: Kinds, stale: bool = False) -> Listing | Unavailable:
+    async def list(self, kind: ObjectKind, stale: bool = False) -> Listing | Unavailable:
         """Returns all objects of a kind."""
-        return await self._count("list", self._store.list(kind, stale), telling=not stale)
+        return await self._instrument("list", self._store.list(kind, stale), telling=not stale)
 
     async def watch(
-        self, kind: Kinds, since: int, wait: float
+        self, kind: ObjectKind, since: int, wait: float
     ) -> Changes | HistoryGone | Unavailable:
         """Returns what changed after a revision."""
-        return await self._count("watch", self._store.watch(kind, since, wait))
+        return await self._instrument("watch", self._store.watch(kind, since, wait))
 
-    async def get(self, kind: Kinds, name: str) -> StoredObject | Absent | Unavailable:
+    async def get(self, kind: ObjectKind, name: str) -> StoredObject | Absent | Unavailable:
         """Returns one object."""
-        return await self._count("get", self._store.get(kind, name))
+        return await self._instrument("get", self._store.get(kind, name))
 
     async def create(
-        self, kind: Kinds, name: str, spec: Any
+        self, kind: ObjectKind, name: str, spec: Any
     ) -> StoredObject | Conflict | Unavailable:
         """Makes an object that must not exist."""
-        return await self._count("create", self._store.create(kind, name, spec))
+        return await self._instrument("create", self._store.create(kind, name, spec))
 
     async def replace(
-        self, kind: Kinds, name: str, spec: Any, revision: int
+        self, kind: ObjectKind, name: str, spec: Any, revision: int
     ) -> StoredObject | Conflict | Absent | Unavailable:
         """Replaces an object that must have the given revision."""
-        return await self._count("replace", self._store.replace(kind, name, spec, revision))
+        return await self._instrument("replace", self._store.replace(kind, name, spec, revision))
 
-    async def remove(self, kind: Kinds, name: str, revision: int) -> bool:
+    async def remove(self, kind: ObjectKind, name: str, revision: int) -> bool:
         """Removes an object that must have the given revision."""
-        return await self._count("remove", self._store.remove(kind, name, revision), telling=False)
+        return await self._instrument(
+            "remove", self._store.remove(kind, name, revision), telling=False
+        )
 
     async def close(self) -> None:
         """Closes the connections."""
         await self._store.close()
 
-    async def _count(self, call: str, made: Awaitable[Result], telling: bool = True) -> Result:
+    async def _instrument(self, call: str, made: Awaitable[Result], telling: bool = True) -> Result:
         """Makes a call; `telling` when its result tells whether the store answers now."""
         self.calls[call] += 1
         began = monotonic()
         result = await made
-        self._note_era()
+        self._check_era()
         if isinstance(result, Unavailable):
-            self._contact.failed(began)
+            self._contact.record_failure(began)
         elif telling:
-            self._contact.answered(monotonic())
+            self._contact.record_answer(monotonic())
         self._metrics.store_calls.labels(call, type(result).__name__.lower()).inc()
         return result
 
-    def _note_era(self) -> None:
+    def _check_era(self) -> None:
         before, self._era = self._era, self._store.era
         if before is not None and self._era is not None and before < self._era:
             log("store_came_back_older", "WARNING", era=self._era, before=before)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/jobs.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/jobs.py
@@ -10,11 +10,11 @@
 from wigeonarch_core.teams import Team
 
 from wigeonarch_gateway.events import EventSplitter
-from wigeonarch_gateway.exchange import Answer, Incoming
-from wigeonarch_gateway.ports import AnswerHead, RequestTerms
+from wigeonarch_gateway.exchange import CallerRequest, ResponseWriter
+from wigeonarch_gateway.ports import RequestTerms, ResponseHead
 
 
-class Again(enum.Enum):
+class DispatchFailure(enum.Enum):
     """What a try says about another one."""
 
     NOT_SENT = "not_sent"  # There was no way to the endpoint.
@@ -25,7 +25,9 @@
     FAILED = "failed"  # It ran and failed, or the answer can't be passed on.
 
 
-MAY_HAVE_RUN: Final = frozenset({Again.LOST, Again.SILENT, Again.FAILED})
+MAY_HAVE_RUN: Final = frozenset(
+    {DispatchFailure.LOST, DispatchFailure.SILENT, DispatchFailure.FAILED}
+)
 
 
 @dataclass(slots=True)
@@ -58,40 +60,40 @@
         team: Team for which it is made; None for none.
     """
 
-    req: Incoming
+    request: CallerRequest
     terms: RequestTerms
-    answer: Answer
+    response: ResponseWriter
     route: Route
     service: str
-    content: str
+    content_key: str
     deadline: float
     spec: ServiceSpec | None
-    sends: int = 0
-    sent_at: float = 0.0
-    ran: list[str] = field(default_factory=list)
-    refused: int = 0
-    avoid: set[str] = field(default_factory=set)
+    dispatch_count: int = 0
+    dispatched_at: float = 0.0
+    may_have_run_on: list[str] = field(default_factory=list)
+    refusal_count: int = 0
+    avoided_endpoints: set[str] = field(default_factory=set)
     splitter: EventSplitter = field(default_factory=EventSplitter)
-    stored: tuple[AnswerHead, bytes] | None = None
-    wished: str = ""
-    wished_at: float = 0.0
-    waited: float = 0.0
-    first_event: float = 0.0
-    last_event: float = 0.0
-    pause: float = 0.0
-    keyed: bool = False
+    failure_response: tuple[ResponseHead, bytes] | None = None
+    load_requested_from: str = ""
+    load_requested_at: float = 0.0
+    selection_time: float = 0.0
+    first_event_at: float = 0.0
+    last_event_at: float = 0.0
+    longest_pause: float = 0.0
+    requires_key: bool = False
     team: Team | None = None
 
-    def passed(self, now: float) -> None:
+    def record_events(self, now: float) -> None:
         """Notes that events were passed on."""
-        if self.first_event:
-            self.pause = max(self.pause, now - self.last_event)
+        if self.first_event_at:
+            self.longest_pause = max(self.longest_pause, now - self.last_event_at)
         else:
-            self.first_event = now
-        self.last_event = now
+            self.first_event_at = now
+        self.last_event_at = now
 
     @property
-    def key(self) -> str:
+    def request_id(self) -> str:
         """Returns the id for the log."""
         return self.terms.request_id
 
@@ -106,4 +108,4 @@
     def may_repeat(self) -> bool:
         """Tells whether it may be sent again although it may have run."""
         repeatable = self.route.repeatable or self.route.resumable
-        return repeatable and len(set(self.ran)) < self.route.attempts
+        return repeatable and len(set(self.may_have_run_on)) < self.route.attempts
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/member.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/member.py
@@ -7,7 +7,7 @@
 from wigeonarch_core.engine_places import AdapterName
 from wigeonarch_core.store_contact import Contact
 
-from wigeonarch_gateway.messages import Beat
+from wigeonarch_gateway.messages import Heartbeat
 
 
 @dataclass(slots=True)
@@ -23,16 +23,18 @@
     address: str
     zone: str
     leaving: bool
-    holds: bool
-    since: float
-    heard: float
-    uses: dict[str, list[AdapterName]]
-    contact: Contact | None
+    has_lease: bool
+    first_heartbeat: float
+    last_heartbeat: float
+    adapters_in_use: dict[str, list[AdapterName]]
+    store_contact: Contact | None
     started: float
 
 
-def contact_of(beat: Beat, now: float) -> Contact | None:
+def store_contact_of(heartbeat: Heartbeat, now: float) -> Contact | None:
     """Returns the sender's contact with the store by this instance's clock."""
-    if beat.contact_ms is None:
+    if heartbeat.store_contact_ms is None:
         return None
-    return Contact(now - beat.contact_ms / 1000, now - beat.answered_ms / 1000)
+    return Contact(
+        now - heartbeat.store_contact_ms / 1000, now - heartbeat.store_answered_ms / 1000
+    )
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/messages.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/messages.py
@@ -13,7 +13,7 @@
 Adapter = tuple[str, str, int]
 
 
-class LoadShare(msgspec.Struct, array_like=True):
+class EndpointLoad(msgspec.Struct, array_like=True):
     """What one instance has under way at one endpoint.
 
     Attributes:
@@ -31,14 +31,14 @@
     recent_tokens: int = 0
 
 
-class Uses(msgspec.Struct, array_like=True):
+class AdaptersInUse(msgspec.Struct, array_like=True):
     """Adapters in use at an endpoint by the sender; told to the endpoint's holder only."""
 
     endpoint: str
     adapters: list[Adapter]
 
 
-class Beat(msgspec.Struct, array_like=True, tag="beat"):
+class Heartbeat(msgspec.Struct, array_like=True, tag="beat"):
     """An instance lives, and what it has under way.
 
     Attributes:
@@ -62,16 +62,16 @@
     address: str
     zone: str
     leaving: bool
-    lease: int
+    lease_revision: int
     lease_left_ms: int
-    loads: list[LoadShare]
-    uses: list[Uses]
-    contact_ms: int | None = None
-    answered_ms: int = 0
-    up_ms: int = 0
+    loads: list[EndpointLoad]
+    adapters_in_use: list[AdaptersInUse]
+    store_contact_ms: int | None = None
+    store_answered_ms: int = 0
+    uptime_ms: int = 0
 
 
-class PlacesNews(msgspec.Struct, array_like=True, tag="places"):
+class EngineUpdate(msgspec.Struct, array_like=True, tag="places"):
     """The places of an engine, told by its holder to all.
 
     Attributes:
@@ -95,13 +95,13 @@
     models: list[str]
     ready: list[tuple[int, str, int]]
     loading: list[tuple[int, str, int, int]]
-    free: int
-    orders: bool
+    free_places: int
+    accepts_loads: bool
     born: int = 0
     load_ms: int = 0
 
 
-class LoadWish(msgspec.Struct, array_like=True, tag="wish"):
+class LoadRequest(msgspec.Struct, array_like=True, tag="wish"):
     """A request of the sender needs an adapter at an endpoint.
 
     Attributes:
@@ -119,7 +119,7 @@
     missing: bool
 
 
-class Used(msgspec.Struct, array_like=True, tag="used"):
+class AdapterUse(msgspec.Struct, array_like=True, tag="used"):
     """The sender is sending a request for an adapter to an endpoint."""
 
     sender: str
@@ -127,14 +127,14 @@
     adapter: Adapter
 
 
-class Remembered(msgspec.Struct, array_like=True, tag="seen"):
+class SeenAdapters(msgspec.Struct, array_like=True, tag="seen"):
     """Adapters that an engine was seen with, told to an instance that just started."""
 
     endpoint: str
     names: list[tuple[str, str]]
 
 
-class RenewalPlea(msgspec.Struct, array_like=True, tag="plea"):
+class LeaseSupportRequest(msgspec.Struct, array_like=True, tag="plea"):
     """The sender can't renew its lease: it asks for a promise, and perhaps for a renewal.
 
     Attributes:
@@ -150,7 +150,7 @@
     renew: bool = False
 
 
-class RenewalDone(msgspec.Struct, array_like=True, tag="done"):
+class LeaseRenewed(msgspec.Struct, array_like=True, tag="done"):
     """The lease was renewed, as asked in the plea of this number."""
 
     sender: str
@@ -158,7 +158,7 @@
     revision: int
 
 
-class PromiseMade(msgspec.Struct, array_like=True, tag="promise"):
+class LeaseSupportPromise(msgspec.Struct, array_like=True, tag="promise"):
     """The sender will take nothing over from the one that pleaded, for one term from the plea."""
 
     sender: str
@@ -171,7 +171,7 @@
     frame: bytes
 
 
-class Follow(msgspec.Struct, array_like=True, tag="follow"):
+class FollowRequest(msgspec.Struct, array_like=True, tag="follow"):
     """The sender asks to be told of the store's changes, and says what it has.
 
     Attributes:
@@ -181,11 +181,11 @@
     """
 
     sender: str
-    states: list[tuple[int, int]]
+    revisions: list[tuple[int, int]]
     number: int = 0
 
 
-class Told(msgspec.Struct, array_like=True, tag="told"):
+class StoreUpdate(msgspec.Struct, array_like=True, tag="told"):
     """What changed in the store, told by an instance that watches it.
 
     Attributes:
@@ -205,12 +205,12 @@
     since: int
     as_of: int
     age_ms: int
-    away: bool
+    store_away: bool
     changes: list[tuple[str, int, Any, bool]]
-    answers: int = 0
+    in_reply_to: int = 0
 
 
-class WhoIsThere(msgspec.Struct, array_like=True, tag="who"):
+class PeerQuery(msgspec.Struct, array_like=True, tag="who"):
     """The sender just started, at an address in an availability zone, and knows few others."""
 
     sender: str
@@ -218,21 +218,21 @@
     zone: str
 
 
-class Introduction(msgspec.Struct, array_like=True, tag="intro"):
+class PeerAddresses(msgspec.Struct, array_like=True, tag="intro"):
     """Addresses of the instances of an availability zone that the sender knows."""
 
     zone: str
     addresses: list[str]
 
 
-class Untold(msgspec.Struct, array_like=True, tag="untold"):
+class UpdateUnavailable(msgspec.Struct, array_like=True, tag="untold"):
     """The sender can't tell of a kind from the receiver's revision on: the store must be asked."""
 
     sender: str
     kind: int
 
 
-class CreditAsk(msgspec.Struct, array_like=True, tag="credit"):
+class QuotaRequest(msgspec.Struct, array_like=True, tag="credit"):
     """A request of the sender needs credit of a team's quota.
 
     Attributes:
@@ -248,7 +248,7 @@
     cost: int
 
 
-class CreditAnswer(msgspec.Struct, array_like=True, tag="credited"):
+class QuotaReply(msgspec.Struct, array_like=True, tag="credited"):
     """The answer to a question for credit.
 
     Attributes:
@@ -265,19 +265,19 @@
     number: int
     granted: bool
     wait_ms: int
-    turn_ms: int
+    queue_wait_ms: int
     level: int
-    loan: bool = False
+    loan_requested: bool = False
 
 
-class CreditBack(msgspec.Struct, array_like=True, tag="uncredit"):
+class QuotaReturn(msgspec.Struct, array_like=True, tag="uncredit"):
     """The request for which credit was given under this number has not run and will not."""
 
     sender: str
     number: int
 
 
-class CreditPlea(msgspec.Struct, array_like=True, tag="lend"):
+class QuotaLoanRequest(msgspec.Struct, array_like=True, tag="lend"):
     """A zone's banker needs more credit than its zone's part.
 
     Attributes:
@@ -296,10 +296,10 @@
     team: str
     number: int
     wanted: int
-    handed_on: bool = False
+    forwarded: bool = False
 
 
-class CreditLoan(msgspec.Struct, array_like=True, tag="loan"):
+class QuotaLoan(msgspec.Struct, array_like=True, tag="loan"):
     """Units that another zone's banker took out of its bucket for a plea."""
 
     sender: str
@@ -308,7 +308,7 @@
     units: int
 
 
-class EndsTold(msgspec.Struct, array_like=True, tag="ends"):
+class CrashReport(msgspec.Struct, array_like=True, tag="ends"):
     """Endpoints ended under requests, or were seen not to.
 
     Attributes:
@@ -322,12 +322,12 @@
     """
 
     sender: str
-    ends: list[tuple[str, str, int]]
+    crashes: list[tuple[str, str, int]]
     cleared: list[tuple[str, list[str]]]
     counted: list[tuple[str, list[str]]]
 
 
-class LimitNamed(msgspec.Struct, array_like=True, tag="limit"):
+class RateLimitUpdate(msgspec.Struct, array_like=True, tag="limit"):
     """An endpoint named the requests a second that it takes from all instances together.
 
     Attributes:
@@ -341,7 +341,7 @@
     rate: float | None
 
 
-class LeavingTold(msgspec.Struct, array_like=True, tag="leaving"):
+class LeavingEndpoints(msgspec.Struct, array_like=True, tag="leaving"):
     """Endpoints said in answers that they leave.
 
     Attributes:
@@ -352,7 +352,7 @@
     leaving: list[tuple[str, int]]
 
 
-class PermitAsk(msgspec.Struct, array_like=True, tag="permit"):
+class PermitRequest(msgspec.Struct, array_like=True, tag="permit"):
     """A request of the sender could go to an endpoint that has a limit.
 
     Attributes:
@@ -366,7 +366,7 @@
     number: int
 
 
-class PermitAnswer(msgspec.Struct, array_like=True, tag="permitted"):
+class PermitReply(msgspec.Struct, array_like=True, tag="permitted"):
     """The answer to a question for a permit.
 
     Attributes:
@@ -386,74 +386,74 @@
     limiter: str
 
 
-class Packed(msgspec.Struct, array_like=True, tag="packed"):
+class CompressedFrame(msgspec.Struct, array_like=True, tag="packed"):
     """An encoded message, compressed."""
 
     frame: bytes
 
 
 Message = (
-    Beat
-    | PlacesNews
-    | LoadWish
-    | Used
-    | Remembered
-    | RenewalPlea
-    | RenewalDone
-    | PromiseMade
+    Heartbeat
+    | EngineUpdate
+    | LoadRequest
+    | AdapterUse
+    | SeenAdapters
+    | LeaseSupportRequest
+    | LeaseRenewed
+    | LeaseSupportPromise
     | Relay
-    | Follow
-    | Told
-    | Untold
-    | WhoIsThere
-    | Introduction
-    | CreditAsk
-    | CreditAnswer
-    | CreditBack
-    | CreditPlea
-    | CreditLoan
-    | EndsTold
-    | LimitNamed
-    | LeavingTold
-    | PermitAsk
-    | PermitAnswer
+    | FollowRequest
+    | StoreUpdate
+    | UpdateUnavailable
+    | PeerQuery
+    | PeerAddresses
+    | QuotaRequest
+    | QuotaReply
+    | QuotaReturn
+    | QuotaLoanRequest
+    | QuotaLoan
+    | CrashReport
+    | RateLimitUpdate
+    | LeavingEndpoints
+    | PermitRequest
+    | PermitReply
 )
 
 # Bytes from which a frame is compressed: what fits into one packet is not worth the work. Long
 # frames repeat themselves (routes, endpoints), and one that goes to a whole zone at once would fill
 # its sender's link.
-PACK_FROM: Final = 1200
-PACK_LEVEL: Final = 1
-UNPACKED_BOUND: Final = 1_000_000  # Bytes of a message that is taken in.
+MIN_COMPRESSED_BYTES: Final = 1200
+COMPRESSION_LEVEL: Final = 1
+MAX_DECOMPRESSED_BYTES: Final = 1_000_000  # Bytes of a message that is taken in.
 
 _encoder: Final = msgspec.msgpack.Encoder()
-_decoder: Final = msgspec.msgpack.Decoder(Message | Packed)
+_decoder: Final = msgspec.msgpack.Decoder(Message | CompressedFrame)
 
 
 def encode(message: Message) -> bytes:
     """Returns the MessagePack form of a message, compressed when it is long."""
     frame = _encoder.encode(message)
-    if len(frame) < PACK_FROM:
+    if len(frame) < MIN_COMPRESSED_BYTES:
         return frame
-    return _encoder.encode(Packed(zlib.compress(frame, PACK_LEVEL)))
+    return _encoder.encode(CompressedFrame(zlib.compress(frame, COMPRESSION_LEVEL)))
 
 
 def decode(frame: bytes) -> Message | None:
     """Returns the message in a frame, or None when it is not one that this version knows."""
     try:
-        decoded: Message | Packed = _decoder.decode(frame)
-        if not isinstance(decoded, Packed):
+        decoded: Message | CompressedFrame = _decoder.decode(frame)
+        if not isinstance(decoded, CompressedFrame):
             return decoded
-        unpacked: Message | Packed = _decoder.decode(_unpack(decoded.frame))
+        unpacked: Message | CompressedFrame = _decoder.decode(_decompress(decoded.frame))
     except (msgspec.DecodeError, zlib.error):
         return None
-    return None if isinstance(unpacked, Packed) else unpacked
+    return None if isinstance(unpacked, CompressedFrame) else unpacked
 
 
-def _unpack(packed: bytes) -> bytes:
+def _decompress(packed: bytes) -> bytes:
     """Returns what was compressed, cut off at the bound, so that a small frame can't fill memory.
 
     Raises:
         zlib.error: It is no compressed frame.
     """
-    return zlib.decompressobj().decompress(packed, UNPACKED_BOUND)
+    return zlib.decompressobj().decompress(packed, MAX_DECOMPRESSED_BYTES)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/metrics.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/metrics.py
@@ -11,7 +11,7 @@
 WAIT_BUCKETS: Final = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 2.0, 5.0, 15.0)
 AGE_BUCKETS: Final = (0.25, 0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0, 6.0, 10.0)
 # Teams that have figures of their own; the others share one, so that the page stays small.
-TEAMS_MOST: Final = 200
+MAX_TEAM_LABELS: Final = 200
 OTHER_TEAMS: Final = "(others)"
 
 
@@ -30,7 +30,7 @@
         self.refusals = Counter(
             "wigeonarch_gateway_refusals", "Requests not run, by reason", ["reason"], registry=reg
         )
-        self._teams: set[str] = set()
+        self._labeled_teams: set[str] = set()
         self.quota_units = Counter(
             "wigeonarch_gateway_quota_units",
             "Units of quotas that requests asked for, by team and outcome",
@@ -115,37 +115,37 @@
             registry=reg,
         )
 
-    def quotas(self, teams: Iterable[Team]) -> None:
+    def set_quotas(self, teams: Iterable[Team]) -> None:
         """Shows the quotas of a configuration's teams, as many as have figures of their own."""
         self.quota_rate.clear()
         self.quota_burst.clear()
         limited = [team for team in teams if team.quota is not None]
-        for team in limited[:TEAMS_MOST]:
+        for team in limited[:MAX_TEAM_LABELS]:
             assert team.quota is not None
             self.quota_rate.labels(team.name).set(team.quota.rate)
             self.quota_burst.labels(team.name).set(team.quota.burst)
 
-    def admitted(self, team: str, units: float) -> None:
+    def count_admitted(self, team: str, units: float) -> None:
         """Counts a request that was let in."""
         self._count_quota(team, "admitted", units)
 
-    def refused_by_quota(self, team: str, units: float) -> None:
+    def count_over_quota(self, team: str, units: float) -> None:
         """Counts a request that its team's quota kept out."""
         self._count_quota(team, "refused", units)
 
-    def answered_team(self, team: str, seconds: float) -> None:
+    def observe_team_answer(self, team: str, seconds: float) -> None:
         """Notes how long a team's caller waited for its answer to begin."""
-        self.team_answers.labels(self._shown(team)).observe(seconds)
+        self.team_answers.labels(self._team_label(team)).observe(seconds)
 
-    def _shown(self, team: str) -> str:
+    def _team_label(self, team: str) -> str:
         """Returns the name under which a team's figures stand."""
-        if team not in self._teams and len(self._teams) >= TEAMS_MOST:
+        if team not in self._labeled_teams and len(self._labeled_teams) >= MAX_TEAM_LABELS:
             return OTHER_TEAMS
-        self._teams.add(team)
+        self._labeled_teams.add(team)
         return team
 
     def _count_quota(self, team: str, outcome: str, units: float) -> None:
-        team = self._shown(team)
+        team = self._team_label(team)
         self.quota_units.labels(team, outcome).inc(units)
         self.quota_requests.labels(team, outcome).inc()
 
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/model_turns.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/model_load_permits.py
@@ -10,12 +10,14 @@
 WINDOW: Final = 5.0  # Seconds over which loads are counted.
 
 
-class ModelTurns:
+class ModelLoadPermits:
     """The loads of base models that this instance began lately."""
 
-    __slots__ = ("_began", "_instances", "_rates")
+    __slots__ = ("_begun_at", "_instance_count", "_rates")
 
-    def __init__(self, rates: Callable[[], Iterable[float]], instances: Callable[[], int]) -> None:
+    def __init__(
+        self, rates: Callable[[], Iterable[float]], instance_count: Callable[[], int]
+    ) -> None:
         """Has begun none.
 
         Args:
@@ -23,15 +25,15 @@
             instances: Returns how many instances share them.
         """
         self._rates = rates
-        self._instances = instances
-        self._began: list[float] = []
+        self._instance_count = instance_count
+        self._begun_at: list[float] = []
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Takes a turn to begin a load now; returns whether there is one."""
         now = monotonic()
-        self._began = [at for at in self._began if now - at < WINDOW]
-        share = min(self._rates(), default=0.0) * WINDOW / self._instances()
-        if len(self._began) >= max(1.0, share):
+        self._begun_at = [at for at in self._begun_at if now - at < WINDOW]
+        share = min(self._rates(), default=0.0) * WINDOW / self._instance_count()
+        if len(self._begun_at) >= max(1.0, share):
             return False
-        self._began.append(now)
+        self._begun_at.append(now)
         return True
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/ownobjects.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/object_contents.py
@@ -32,7 +32,7 @@
     ended_under: list[tuple[str, list[str]]] = []
 
 
-class HolderContent(msgspec.Struct):
+class OwnerContent(msgspec.Struct):
     """Which instance orders an engine.
 
     Attributes:
@@ -53,12 +53,12 @@
     return _read(found.spec, LeaseContent)
 
 
-def read_holder(found: StoredObject) -> HolderContent | None:
+def read_owner(found: StoredObject) -> OwnerContent | None:
     """Returns a holder object's content; None when it can't be read."""
-    return _read(found.spec, HolderContent)
+    return _read(found.spec, OwnerContent)
 
 
-def content(struct: LeaseContent | HolderContent) -> dict[str, Any]:
+def content(struct: LeaseContent | OwnerContent) -> dict[str, Any]:
     """Returns the form in which a content is stored."""
     return msgspec.structs.asdict(struct)
 
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/options.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/options.py
@@ -5,9 +5,11 @@
 from typing import Final
 
 import msgspec
-from wigeonarch_core.quota_bank import QuotaBounds
+from wigeonarch_core.quota_ledger import QuotaBounds
 
-RETRY_MOST: Final = 1.6  # Seconds, where the time in which an instance must be up to date is short.
+DEFAULT_RETRY_MOST: Final = (
+    1.6  # Seconds, where the time in which an instance must be up to date is short.
+)
 
 
 class RetryOptions(msgspec.Struct, frozen=True):
@@ -24,7 +26,7 @@
     window: float = 10.0
 
 
-class HoldingOptions(msgspec.Struct, frozen=True):
+class LeaseOptions(msgspec.Struct, frozen=True):
     """Times of leases and takeovers, in seconds.
 
     Attributes:
@@ -41,7 +43,7 @@
     pause: float = 3.3
 
 
-class ObeyedOptions(msgspec.Struct, frozen=True):
+class PropagationBounds(msgspec.Struct, frozen=True):
     """Times within which what the store accepted must be in force everywhere, in seconds."""
 
     endpoints: float = 2.0
@@ -72,13 +74,13 @@
 
     watch: float = 3.5
     watch_configuration: float = 1.4
-    gather: float = 0.9
+    batch_pause: float = 0.9
     retry: float = 0.25
-    retry_most: float = RETRY_MOST
-    returned: float = 2.2
+    retry_most: float = DEFAULT_RETRY_MOST
+    return_time: float = 2.2
     lapse: float = 3.0
     contact: float = 3.0
-    obeyed: ObeyedOptions = msgspec.field(default_factory=ObeyedOptions)
+    propagation: PropagationBounds = msgspec.field(default_factory=PropagationBounds)
 
 
 class Options(msgspec.Struct, frozen=True):
@@ -110,10 +112,10 @@
     metrics_port: int
     seeds: tuple[str, ...] = ()
     grace: float = 8.0
-    unready_noticed: float = 2.6
+    unready_detection_time: float = 2.6
     log_level: str = "INFO"
     zones: int = 1
     quotas: QuotaBounds = msgspec.field(default_factory=QuotaBounds)
     retries: RetryOptions = msgspec.field(default_factory=RetryOptions)
-    holding: HoldingOptions = msgspec.field(default_factory=HoldingOptions)
+    leases: LeaseOptions = msgspec.field(default_factory=LeaseOptions)
     store: StoreOptions = msgspec.field(default_factory=StoreOptions)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/links.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/peer_socket.py
@@ -20,11 +20,11 @@
 from wigeonarch_gateway.messages import Message, decode, encode
 
 # Bytes of one message; less than the largest datagram, which the system takes apart for the way.
-MESSAGE_BOUND: Final = 60_000
-PORT_MOST: Final = 65_535
+MAX_MESSAGE_BYTES: Final = 60_000
+MAX_PORT: Final = 65_535
 
 
-class Links(asyncio.DatagramProtocol):
+class PeerSocket(asyncio.DatagramProtocol):
     """The socket of one instance.
 
     Attributes:
@@ -74,7 +74,7 @@
     def send_frame(self, address: str, frame: bytes) -> bool:
         """Sends a message that was encoded once for many; False when it was dropped at once."""
         peer = self._peers.get(address)
-        if peer is None or self._transport is None or len(frame) > MESSAGE_BOUND:
+        if peer is None or self._transport is None or len(frame) > MAX_MESSAGE_BYTES:
             self.dropped += 1
             return False
         self._transport.sendto(frame, peer)
@@ -100,4 +100,4 @@
         IPv4Address(host)
     except ValueError:
         return False
-    return port.isascii() and port.isdecimal() and 0 < int(port) <= PORT_MOST
+    return port.isascii() and port.isdecimal() and 0 < int(port) <= MAX_PORT
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/pools.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/pools.py
@@ -15,11 +15,15 @@
 from wigeonarch_gateway.ports import EndpointRecord
 
 CONNECT_TIMEOUT: Final = 0.15  # Seconds; where there is a way it takes a few milliseconds.
-IDLE_UNSTATED: Final = 2.0  # Seconds an idle connection is used where the endpoint states nothing.
-IDLE_SHARE: Final = 0.5  # Share of the stated time after which an idle connection is not used.
+DEFAULT_IDLE_TIMEOUT: Final = (
+    2.0  # Seconds an idle connection is used where the endpoint states nothing.
+)
+IDLE_TIMEOUT_SHARE: Final = (
+    0.5  # Share of the stated time after which an idle connection is not used.
+)
 
 
-class Reach(enum.Enum):
+class ProbeResult(enum.Enum):
     """What an attempt to connect to an endpoint shows."""
 
     OPEN = "open"  # A process listens at its address.
@@ -27,50 +31,50 @@
     UNKNOWN = "unknown"  # No answer: there may be no way to it.
 
 
-class Pools:
+class ConnectionPools:
     """Connections to all endpoints of an instance."""
 
-    __slots__ = ("_idle", "_loop", "_opened", "_source")
+    __slots__ = ("_idle", "_loop", "_opened_count", "_source")
 
     def __init__(self, loop: asyncio.AbstractEventLoop, source: str) -> None:
         """Makes empty pools; connections come from the IP `source`."""
         self._loop = loop
         self._source = source
         self._idle: dict[str, list[Connection]] = {}
-        self._opened = 0
+        self._opened_count = 0
 
     @property
-    def opened(self) -> int:
+    def opened_count(self) -> int:
         """Returns the number of connections made so far."""
-        return self._opened
+        return self._opened_count
 
-    async def take(self, endpoint: EndpointRecord) -> Connection | None:
+    async def acquire(self, endpoint: EndpointRecord) -> Connection | None:
         """Returns a connection to an endpoint; None when there is no way to it now."""
         kept = self._idle.get(endpoint.endpoint, [])
         while kept:
             conn = kept.pop()
-            if conn.usable and self._young(conn):
+            if conn.usable and self._is_within_idle_timeout(conn):
                 return conn
             conn.close()
         return await self._connect(endpoint)
 
-    async def reach(self, endpoint: EndpointRecord) -> Reach:
+    async def probe(self, endpoint: EndpointRecord) -> ProbeResult:
         """Tells whether anything listens at an endpoint's address; a connection made is kept."""
         try:
             conn = await self._open(endpoint)
         except ConnectionRefusedError:
-            return Reach.REFUSED
+            return ProbeResult.REFUSED
         except (OSError, TimeoutError):
-            return Reach.UNKNOWN
-        self.put_back(endpoint.endpoint, conn)
-        return Reach.OPEN
+            return ProbeResult.UNKNOWN
+        self.release_unused(endpoint.endpoint, conn)
+        return ProbeResult.OPEN
 
-    def give_back(self, endpoint: str, conn: Connection) -> None:
+    def release(self, endpoint: str, conn: Connection) -> None:
         """Keeps a connection whose answer was read, if it can be used again."""
         if conn.finish():
             self._idle.setdefault(endpoint, []).append(conn)
 
-    def put_back(self, endpoint: str, conn: Connection) -> None:
+    def release_unused(self, endpoint: str, conn: Connection) -> None:
         """Keeps a connection on which nothing was sent."""
         conn.idle_since = self._loop.time()
         self._idle.setdefault(endpoint, []).append(conn)
@@ -80,10 +84,12 @@
         for conn in self._idle.pop(endpoint, []):
             conn.close()
 
-    def trim(self) -> None:
+    def close_expired(self) -> None:
         """Closes connections that are too old to be used."""
         for kept in self._idle.values():
-            for conn in [conn for conn in kept if not (conn.usable and self._young(conn))]:
+            for conn in [
+                conn for conn in kept if not (conn.usable and self._is_within_idle_timeout(conn))
+            ]:
                 kept.remove(conn)
                 conn.close()
 
@@ -92,8 +98,12 @@
         for endpoint in list(self._idle):
             self.forget(endpoint)
 
-    def _young(self, conn: Connection) -> bool:
-        bound = IDLE_UNSTATED if conn.keep is None else conn.keep * IDLE_SHARE
+    def _is_within_idle_timeout(self, conn: Connection) -> bool:
+        bound = (
+            DEFAULT_IDLE_TIMEOUT
+            if conn.keep_alive_timeout is None
+            else conn.keep_alive_timeout * IDLE_TIMEOUT_SHARE
+        )
         return self._loop.time() - conn.idle_since < bound
 
     async def _connect(self, endpoint: EndpointRecord) -> Connection | None:
@@ -115,5 +125,5 @@
             _, conn = await self._loop.create_connection(
                 lambda: Connection(self._loop), host, int(port), local_addr=source
             )
-        self._opened += 1
+        self._opened_count += 1
         return conn
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/ports.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/ports.py
@@ -18,7 +18,7 @@
 Headers = Sequence[tuple[bytes, bytes]]
 
 
-class Kinds(enum.Enum):
+class ObjectKind(enum.Enum):
     """The kinds of objects that the gateway uses in the store."""
 
     CONFIGURATION = "configuration"
@@ -46,7 +46,7 @@
 class Change(msgspec.Struct, frozen=True):
     """One change that a watch told of."""
 
-    found: StoredObject
+    stored: StoredObject
     deleted: bool
 
 
@@ -78,7 +78,7 @@
     """
 
     reason: str
-    undone: bool = False
+    no_effect: bool = False
 
 
 class ObjectStore(Protocol):
@@ -92,28 +92,28 @@
     def era(self) -> int | None:
         """Returns the latest era of the store; None before its first answer."""
 
-    async def list(self, kind: Kinds, stale: bool = False) -> Listing | Unavailable:
+    async def list(self, kind: ObjectKind, stale: bool = False) -> Listing | Unavailable:
         """Returns all objects of a kind; `stale` allows what is some seconds old."""
 
     async def watch(
-        self, kind: Kinds, since: int, wait: float
+        self, kind: ObjectKind, since: int, wait: float
     ) -> Changes | HistoryGone | Unavailable:
         """Returns what changed after a revision, waiting up to `wait` seconds for a change."""
 
-    async def get(self, kind: Kinds, name: str) -> StoredObject | Absent | Unavailable:
+    async def get(self, kind: ObjectKind, name: str) -> StoredObject | Absent | Unavailable:
         """Returns one object."""
 
     async def create(
-        self, kind: Kinds, name: str, spec: Any
+        self, kind: ObjectKind, name: str, spec: Any
     ) -> StoredObject | Conflict | Unavailable:
         """Makes an object that must not exist."""
 
     async def replace(
-        self, kind: Kinds, name: str, spec: Any, revision: int
+        self, kind: ObjectKind, name: str, spec: Any, revision: int
     ) -> StoredObject | Conflict | Absent | Unavailable:
         """Replaces an object that must have the given revision."""
 
-    async def remove(self, kind: Kinds, name: str, revision: int) -> bool:
+    async def remove(self, kind: ObjectKind, name: str, revision: int) -> bool:
         """Removes an object that must have the given revision; returns whether it is gone."""
 
     async def close(self) -> None:
@@ -127,7 +127,7 @@
     LEAVING = "leaving"
 
 
-class HeldModel(msgspec.Struct, frozen=True):
+class LoadedModel(msgspec.Struct, frozen=True):
     """A base model that an engine holds, with its version and the adapters on it."""
 
     model: str
@@ -156,7 +156,7 @@
     zone: str
     slots: int
     state: EndpointState
-    models: tuple[HeldModel, ...]
+    models: tuple[LoadedModel, ...]
     born: int = 0
 
 
@@ -172,7 +172,7 @@
     """
 
     sequence: int
-    models: tuple[HeldModel, ...]
+    models: tuple[LoadedModel, ...]
     pending: tuple[AdapterKey, ...]
     busy: bool
     born: int = 0
@@ -248,11 +248,11 @@
     """
 
     endpoint: str
-    left: float
+    time_left: float
     priority: int | None = None
     version: int = 0
     resume_after: str = ""
-    keyed: bool = False
+    requires_key: bool = False
     team: str = ""
 
 
@@ -267,7 +267,7 @@
     FOREIGN = "foreign"  # The answer belongs to another request.
 
 
-class AnswerHead(msgspec.Struct, frozen=True):
+class ResponseHead(msgspec.Struct, frozen=True):
     """Status line and headers of an answer; names are in lower case."""
 
     status: int
@@ -288,7 +288,7 @@
     """
 
     leaving: bool = False
-    rest: float = 0.0
+    cooldown: float = 0.0
     limit: float | None = None
 
 
@@ -320,13 +320,13 @@
     decode_version: Callable[[StoredObject], AdapterKey]
     read_terms: Callable[[Mapping[str, str]], RequestTerms]
     read_key: Callable[[Headers], str | None]
-    forward: Callable[[Headers, Dispatch], list[tuple[bytes, bytes]]]
-    judge: Callable[[str, AnswerHead], Verdict]
-    read_notice: Callable[[AnswerHead], Notice | None]
+    endpoint_headers: Callable[[Headers, Dispatch], list[tuple[bytes, bytes]]]
+    classify_response: Callable[[str, ResponseHead], Verdict]
+    read_notice: Callable[[ResponseHead], Notice | None]
     order_body: Callable[[Order], bytes]
     order_result: Callable[[int], OrderResult]
     decode_report: Callable[[bytes], EngineReport]
     order_path: str
     report_path: str
     ready_path: str
-    identity: bytes
+    identity_header: bytes
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/serving.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/serving.py
@@ -18,28 +18,28 @@
 from wigeonarch_gateway import texts
 from wigeonarch_gateway.admission import Admission, Admitted, Deferred, Denied
 from wigeonarch_gateway.catalogue import Catalogue
-from wigeonarch_gateway.closing import Closing
-from wigeonarch_gateway.exchange import Answer, Incoming
-from wigeonarch_gateway.finding import Inputs
+from wigeonarch_gateway.exchange import CallerRequest, ResponseWriter
+from wigeonarch_gateway.forwarding import Forwarder
 from wigeonarch_gateway.jobs import Job
 from wigeonarch_gateway.metrics import Metrics
-from wigeonarch_gateway.passing import Passing
 from wigeonarch_gateway.ports import Dialect, RequestTerms
+from wigeonarch_gateway.responder import Responder
+from wigeonarch_gateway.selection import LogFields
 
 TOO_MANY_REQUESTS: Final = 429
 UNAVAILABLE: Final = 503
 
 
-class Serving:
+class RequestPipeline:
     """Serves requests."""
 
     __slots__ = (
         "_admission",
         "_catalogue",
-        "_closing",
         "_dialect",
+        "_forwarder",
         "_metrics",
-        "_passing",
+        "_responder",
         "_retries",
     )
 
@@ -48,80 +48,89 @@
         dialect: Dialect,
         catalogue: Catalogue,
         admission: Admission,
-        passing: Passing,
-        closing: Closing,
+        passing: Forwarder,
+        closing: Responder,
         retries: RetryWindow,
         metrics: Metrics,
     ) -> None:
         self._dialect = dialect
         self._catalogue = catalogue
         self._admission = admission
-        self._passing = passing
-        self._closing = closing
+        self._forwarder = passing
+        self._responder = closing
         self._retries = retries
         self._metrics = metrics
 
-    async def serve(self, req: Incoming, answer: Answer) -> None:
+    async def serve(self, req: CallerRequest, answer: ResponseWriter) -> None:
         """Answers a request; cancelled when the caller leaves."""
         terms = self._dialect.read_terms(req.headers)
         table = self._catalogue.table
         if table is None:
-            await self._closing.refuse(answer, terms, "no_configuration", texts.NO_CONFIGURATION)
+            await self._responder.refuse(answer, terms, "no_configuration", texts.NO_CONFIGURATION)
             return
         route = table.find(req.host, req.path)
         if route is None:
             log("no_route", request=terms.request_id, host=req.host, version=table.version)
             self._metrics.refusals.labels("no_route").inc()
-            await answer.whole(404, [], texts.NO_ROUTE.encode())
+            await answer.send(404, [], texts.NO_ROUTE.encode())
             return
         decision = await self._admission.admit(req, terms, route, table)
         if not isinstance(decision, Admitted):
-            inputs: Inputs = {"route": route.name, "version": table.version}
-            await self._turn_away(answer, terms, decision, inputs)
+            inputs: LogFields = {"route": route.name, "version": table.version}
+            await self._respond_not_admitted(answer, terms, decision, inputs)
             return
-        job = self._job(req, terms, answer, route, table, decision)
+        job = self._make_job(req, terms, answer, route, table, decision)
         await self._serve_admitted(job, decision)
 
-    async def _turn_away(
-        self, answer: Answer, terms: RequestTerms, decision: Denied | Deferred, inputs: Inputs
+    async def _respond_not_admitted(
+        self,
+        answer: ResponseWriter,
+        terms: RequestTerms,
+        decision: Denied | Deferred,
+        inputs: LogFields,
     ) -> None:
         """Answers a request that may not be served, or not now."""
         if isinstance(decision, Denied):
-            await self._closing.deny(answer, terms, decision.reason, decision.text, inputs)
+            await self._responder.deny(answer, terms, decision.reason, decision.text, inputs)
             return
         status = TOO_MANY_REQUESTS if decision.over_quota else UNAVAILABLE
-        await self._closing.refuse(
+        await self._responder.refuse(
             answer,
             terms,
             decision.reason,
             decision.text,
-            inputs | decision.inputs,
-            decision.after,
+            inputs | decision.log_fields,
+            decision.retry_after,
             status,
         )
 
     async def _serve_admitted(self, job: Job, admitted: Admitted) -> None:
-        self._retries.fresh(job.service, monotonic())
+        self._retries.record_request(job.service, monotonic())
         self._metrics.in_progress.inc()
         try:
             async with asyncio.timeout_at(_loop_time(job.deadline)):
-                await self._passing.until_answered(job)
+                await self._forwarder.forward(job)
         except TimeoutError:
-            await self._closing.timed_out(job)
+            await self._responder.respond_timed_out(job)
         except asyncio.CancelledError:
-            log("caller_left", request=job.key, sends=job.sends, begun=job.answer.begun)
+            log(
+                "caller_left",
+                request=job.request_id,
+                sends=job.dispatch_count,
+                begun=job.response.started,
+            )
             self._metrics.requests.labels(job.route.name, "caller_left").inc()
             raise
         finally:
             self._metrics.in_progress.dec()
-            if not job.ran:
-                self._admission.give_back(admitted)
+            if not job.may_have_run_on:
+                self._admission.refund(admitted)
 
     @staticmethod
-    def _job(
-        req: Incoming,
+    def _make_job(
+        req: CallerRequest,
         terms: RequestTerms,
-        answer: Answer,
+        answer: ResponseWriter,
         route: Route,
         table: RoutingTable,
         admitted: Admitted,
@@ -137,7 +146,7 @@
             content_key(req.method, req.host, req.target, req.body),
             req.received + wait,
             table.services.get(service),
-            keyed=table.teams is not None,
+            requires_key=table.teams is not None,
             team=admitted.team,
         )
 
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/status.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/status.py
@@ -24,7 +24,7 @@
         self._web = web.Server(self._handle, access_log=None)
         self._server: asyncio.Server | None = None
 
-    async def open(self, host: str, port: int) -> None:
+    async def listen(self, host: str, port: int) -> None:
         """Listens for questions."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._web, host, port)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/intake.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/store_updates.py
@@ -13,15 +13,15 @@
 from wigeonarch_runtime.logs import log
 
 from wigeonarch_gateway.catalogue import Catalogue
-from wigeonarch_gateway.endpoints import Endpoints
+from wigeonarch_gateway.endpoints import EndpointRegistry
 from wigeonarch_gateway.engineviews import EngineViews
 from wigeonarch_gateway.options import StoreOptions
-from wigeonarch_gateway.ports import Change, EndpointRecord, Kinds, StoredObject
-from wigeonarch_gateway.sharing import Sharing
-from wigeonarch_gateway.watching import Watched
+from wigeonarch_gateway.ports import Change, EndpointRecord, ObjectKind, StoredObject
+from wigeonarch_gateway.sharing import WatchSharing
+from wigeonarch_gateway.watching import WatchedKind
 
 
-class Intake:
+class StoreUpdateHandlers:
     """Takes over what the store tells."""
 
     __slots__ = (
@@ -37,7 +37,7 @@
         self,
         opts: StoreOptions,
         catalogue: Catalogue,
-        endpoints: Endpoints,
+        endpoints: EndpointRegistry,
         views: EngineViews,
         decode_endpoint: Callable[[StoredObject], EndpointRecord],
     ) -> None:
@@ -49,19 +49,23 @@
         self._decode_endpoint = decode_endpoint
         self._unreadable: dict[str, int] = {}
 
-    def share(self, sharing: Sharing) -> None:
+    def register_handlers(self, sharing: WatchSharing) -> None:
         """Says what becomes of changes, whoever tells of them."""
-        sharing.add(Kinds.CONFIGURATION, self._catalogue.table_changed)
-        sharing.add(Kinds.VERSIONS, self._catalogue.version_changed)
-        sharing.add(Kinds.ENDPOINTS, self._endpoint_changed)
+        sharing.add_kind(ObjectKind.CONFIGURATION, self._catalogue.apply_configuration_change)
+        sharing.add_kind(ObjectKind.VERSIONS, self._catalogue.apply_version_change)
+        sharing.add_kind(ObjectKind.ENDPOINTS, self._endpoint_changed)
 
-    def watched(self) -> list[Watched]:
+    def watched_kinds(self) -> list[WatchedKind]:
         """Returns what is to be watched, and what becomes of lists."""
         opts = self._opts
         return [
-            Watched(Kinds.CONFIGURATION, self._catalogue.tables_listed, opts.watch_configuration),
-            Watched(Kinds.VERSIONS, self._catalogue.versions_listed, opts.watch),
-            Watched(Kinds.ENDPOINTS, self._endpoints_listed, opts.watch, opts.gather),
+            WatchedKind(
+                ObjectKind.CONFIGURATION,
+                self._catalogue.take_configuration_list,
+                opts.watch_configuration,
+            ),
+            WatchedKind(ObjectKind.VERSIONS, self._catalogue.take_version_list, opts.watch),
+            WatchedKind(ObjectKind.ENDPOINTS, self._endpoints_listed, opts.watch, opts.batch_pause),
         ]
 
     def _endpoints_listed(self, objects: tuple[StoredObject, ...]) -> None:
@@ -69,9 +73,9 @@
         records = [record for record in read.values() if record is not None]
         unreadable = [name for name, record in read.items() if record is None]
         self._unreadable = {n: r for n, r in self._unreadable.items() if n in unreadable}
-        self._endpoints.listed(records, monotonic(), unreadable)
+        self._endpoints.apply_list(records, monotonic(), unreadable)
         for record in records:
-            self._first_seen(record)
+            self._record_reported_adapters(record)
 
     def _endpoint_changed(self, change: Change) -> bool:
         """Takes over an endpoint's entry; returns whether more than its adapters changed.
@@ -80,18 +84,18 @@
         told to eight followers would take 100 KB/s of a keeper's link.
         """
         if change.deleted:
-            self._unreadable.pop(change.found.name, None)
-            self._endpoints.removed(change.found.name, monotonic())
+            self._unreadable.pop(change.stored.name, None)
+            self._endpoints.entry_removed(change.stored.name, monotonic())
             return True
-        record = self._decode(change.found)
+        record = self._decode(change.stored)
         if record is None:
-            self._endpoints.unreadable(change.found.name)
+            self._endpoints.drop_unreadable(change.stored.name)
             return True
         before = self._endpoints.get(record.endpoint)
         # Followers were told that it is missing: they must hear that it is back.
         missed = self._endpoints.is_missing(record.endpoint)
-        if self._endpoints.put(record):
-            self._first_seen(record)
+        if self._endpoints.update(record):
+            self._record_reported_adapters(record)
         return missed or before is None or replace(before, models=record.models) != record
 
     def _decode(self, found: StoredObject) -> EndpointRecord | None:
@@ -104,9 +108,9 @@
                 log("endpoint_unreadable", "ERROR", name=found.name, reason=str(exc))
             return None
 
-    def _first_seen(self, record: EndpointRecord) -> None:
+    def _record_reported_adapters(self, record: EndpointRecord) -> None:
         if self._endpoints.get(record.endpoint) is not record:
             return  # Of an earlier incarnation.
         adapters = {key.name: key.version for model in record.models for key in model.adapters}
         models = frozenset(model.model for model in record.models)
-        self._views.first_seen(record.endpoint, models, adapters)
+        self._views.take_self_description(record.endpoint, models, adapters)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/support.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/support.py
@@ -9,55 +9,60 @@
 
 from wigeonarch_runtime.clock import monotonic
 
-from wigeonarch_gateway.holders import Holders
+from wigeonarch_gateway.engine_ownership import EngineOwnership
 from wigeonarch_gateway.members import Members
-from wigeonarch_gateway.messages import PromiseMade, RenewalDone, RenewalPlea
-from wigeonarch_gateway.ownobjects import content, read_lease
-from wigeonarch_gateway.ports import Kinds, ObjectStore, StoredObject
-from wigeonarch_gateway.watching import StoreState
+from wigeonarch_gateway.messages import LeaseRenewed, LeaseSupportPromise, LeaseSupportRequest
+from wigeonarch_gateway.object_contents import content, read_lease
+from wigeonarch_gateway.ports import ObjectKind, ObjectStore, StoredObject
+from wigeonarch_gateway.watching import StoreReachability
 
 
-class Support:
+class LeaseSupport:
     """Answers the pleas of peers."""
 
-    __slots__ = ("_holders", "_me", "_members", "_state", "_store")
+    __slots__ = ("_me", "_members", "_ownership", "_state", "_store")
 
     def __init__(
-        self, me: str, store: ObjectStore, state: StoreState, holders: Holders, members: Members
+        self,
+        me: str,
+        store: ObjectStore,
+        state: StoreReachability,
+        ownership: EngineOwnership,
+        members: Members,
     ) -> None:
         self._me = me
         self._store = store
         self._state = state
-        self._holders = holders
+        self._ownership = ownership
         self._members = members
 
-    def pleaded(self, plea: RenewalPlea) -> None:
+    def answer_request(self, request: LeaseSupportRequest) -> None:
         """Promises what can be, and begins a renewal if one is asked for."""
-        self._promise(plea)
-        if plea.renew:
-            asyncio.create_task(self._renew_for(plea))  # noqa: RUF006 - ends by itself.
+        self._promise(request)
+        if request.renew:
+            asyncio.create_task(self._renew_for(request))  # noqa: RUF006 - ends by itself.
 
-    def _promise(self, plea: RenewalPlea) -> None:
+    def _promise(self, request: LeaseSupportRequest) -> None:
         """Promises to take nothing over, unless that may already have been begun."""
-        if self._holders.may_be_taking_from(plea.sender):
+        if self._ownership.may_have_pending_takeover(request.sender):
             return
-        self._holders.promises.give(plea.sender, monotonic())
-        self._members.send(plea.sender, PromiseMade(self._me, plea.number))
+        self._ownership.promises.give(request.sender, monotonic())
+        self._members.send(request.sender, LeaseSupportPromise(self._me, request.number))
 
-    async def _renew_for(self, plea: RenewalPlea) -> None:
+    async def _renew_for(self, request: LeaseSupportRequest) -> None:
         """Renews a peer's lease in its name, unless the store does not answer here either."""
-        if self._state.away:
+        if self._state.is_away:
             return
-        found = await self._store.get(Kinds.LEASES, plea.sender)
+        found = await self._store.get(ObjectKind.LEASES, request.sender)
         lease = read_lease(found) if isinstance(found, StoredObject) else None
         if not isinstance(found, StoredObject) or lease is None:
             return
-        if lease.incarnation != plea.incarnation:
+        if lease.incarnation != request.incarnation:
             return
         lease.count += 1
         result = await self._store.replace(
-            Kinds.LEASES, plea.sender, content(lease), found.revision
+            ObjectKind.LEASES, request.sender, content(lease), found.revision
         )
         if isinstance(result, StoredObject):
-            done = RenewalDone(self._me, plea.number, result.revision)
-            self._members.send(plea.sender, done)
+            done = LeaseRenewed(self._me, request.number, result.revision)
+            self._members.send(request.sender, done)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/traffic.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/traffic.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass
 from typing import Final
 
-from wigeonarch_core.engine_pace import Wait
+from wigeonarch_core.engine_latency import Wait
 from wigeonarch_core.engine_places import AdapterKey
 from wigeonarch_runtime.clock import monotonic
 
-from wigeonarch_gateway.messages import LoadShare
+from wigeonarch_gateway.messages import EndpointLoad
 
 # Seconds over which prompt tokens count as sent lately: about the longest pause that streams may
 # have while prompts are read between their tokens (0.25 and 0.3 are known).
-RECENT: Final = 0.3
+RECENT_DECAY_TIME: Final = 0.3
 
 
 @dataclass(slots=True)
@@ -38,7 +38,7 @@
     kv_tokens: float = 0.0
     recent_tokens: float = 0.0
 
-    def add(self, other: Load | LoadShare, sign: int = 1) -> None:
+    def add(self, other: Load | EndpointLoad, sign: int = 1) -> None:
         """Adds another instance's share, or takes it away."""
         self.running += sign * other.running
         self.waiting_tokens += sign * other.waiting_tokens
@@ -46,11 +46,11 @@
         self.recent_tokens += sign * other.recent_tokens
 
 
-NOTHING: Final = Load()
+NO_LOAD: Final = Load()
 
 
 @dataclass(slots=True)
-class Under:
+class InFlightRequest:
     """One request under way; `prompt` is 0 once its first token has come.
 
     Attributes:
@@ -58,133 +58,138 @@
     """
 
     endpoint: str
-    prompt: float
-    kv: float
-    key: AdapterKey | None
-    wait: Wait | None = None
+    unread_tokens: float
+    kv_tokens: float
+    adapter: AdapterKey | None
+    first_token_wait: Wait | None = None
 
 
-class Traffic:
+class InFlightTracker:
     """Requests under way at all endpoints."""
 
-    __slots__ = ("_others", "_own", "_recent", "_totals", "_uses")
+    __slots__ = ("_adapter_uses", "_own_loads", "_peer_loads", "_peer_totals", "_recent_prompts")
 
     def __init__(self) -> None:
-        self._own: dict[str, Load] = {}
-        self._uses: dict[str, Counter[AdapterKey]] = {}
-        self._others: dict[str, list[LoadShare]] = {}
-        self._totals: dict[str, Load] = {}
-        self._recent: dict[str, tuple[float, float]] = {}
-
-    def begin(self, endpoint: str, prompt: float, kv: float, key: AdapterKey | None) -> Under:
+        self._own_loads: dict[str, Load] = {}
+        self._adapter_uses: dict[str, Counter[AdapterKey]] = {}
+        self._peer_loads: dict[str, list[EndpointLoad]] = {}
+        self._peer_totals: dict[str, Load] = {}
+        self._recent_prompts: dict[str, tuple[float, float]] = {}
+
+    def begin(
+        self, endpoint: str, prompt: float, kv: float, key: AdapterKey | None
+    ) -> InFlightRequest:
         """Notes a request that is sent."""
-        under = Under(endpoint, prompt, kv, key)
-        load = self._own.setdefault(endpoint, Load())
+        under = InFlightRequest(endpoint, prompt, kv, key)
+        load = self._own_loads.setdefault(endpoint, Load())
         load.running += 1
         load.waiting_tokens += prompt
         load.kv_tokens += kv
         now = monotonic()
-        self._recent[endpoint] = (self._recently(endpoint, now) + prompt, now)
+        self._recent_prompts[endpoint] = (self._recent_tokens(endpoint, now) + prompt, now)
         if key is not None:
-            self._uses.setdefault(endpoint, Counter())[key] += 1
+            self._adapter_uses.setdefault(endpoint, Counter())[key] += 1
         return under
 
-    def first_token(self, under: Under) -> None:
+    def first_token(self, under: InFlightRequest) -> None:
         """Notes that a request's prompt was read."""
-        load = self._own.get(under.endpoint)
+        load = self._own_loads.get(under.endpoint)
         if load is not None:
-            load.waiting_tokens -= under.prompt
-        under.prompt = 0.0
+            load.waiting_tokens -= under.unread_tokens
+        under.unread_tokens = 0.0
 
-    def end(self, under: Under) -> None:
+    def end(self, under: InFlightRequest) -> None:
         """Notes that a request has ended."""
         self.first_token(under)
-        load = self._own.get(under.endpoint)
+        load = self._own_loads.get(under.endpoint)
         if load is not None:
             load.running -= 1
-            load.kv_tokens -= under.kv
+            load.kv_tokens -= under.kv_tokens
             if not load.running:
-                del self._own[under.endpoint]
-        if under.key is not None:
-            uses = self._uses[under.endpoint]
-            uses[under.key] -= 1
-            if not uses[under.key]:
-                del uses[under.key]
+                del self._own_loads[under.endpoint]
+        if under.adapter is not None:
+            uses = self._adapter_uses[under.endpoint]
+            uses[under.adapter] -= 1
+            if not uses[under.adapter]:
+                del uses[under.adapter]
             if not uses:
-                del self._uses[under.endpoint]
+                del self._adapter_uses[under.endpoint]
 
-    def heard(self, sender: str, loads: list[LoadShare]) -> None:
+    def receive_loads(self, sender: str, loads: list[EndpointLoad]) -> None:
         """Takes over what another instance has under way."""
-        before = self._others.get(sender)
+        before = self._peer_loads.get(sender)
         if before == loads:
             return
         if before:
-            self._count(before, -1)
-        self._others[sender] = loads
-        self._count(loads, 1)
+            self._add_peer_loads(before, -1)
+        self._peer_loads[sender] = loads
+        self._add_peer_loads(loads, 1)
 
-    def forget(self, sender: str) -> bool:
+    def forget_instance(self, sender: str) -> bool:
         """Forgets an instance that is not heard any more; returns whether it was known."""
-        if sender not in self._others:
+        if sender not in self._peer_loads:
             return False
-        self._count(self._others.pop(sender), -1)
+        self._add_peer_loads(self._peer_loads.pop(sender), -1)
         return True
 
-    def at(self, endpoint: str) -> Load:
+    def load_at(self, endpoint: str) -> Load:
         """Returns all that is believed to be under way at an endpoint."""
-        own, others = self._own.get(endpoint), self._totals.get(endpoint)
+        own, others = self._own_loads.get(endpoint), self._peer_totals.get(endpoint)
         if own is None and others is None:
-            return NOTHING
+            return NO_LOAD
         total = Load()
         if own is not None:
             total.add(own)
         if others is not None:
             total.add(others)
-        if endpoint in self._recent:
-            total.recent_tokens += self._recently(endpoint, monotonic())
+        if endpoint in self._recent_prompts:
+            total.recent_tokens += self._recent_tokens(endpoint, monotonic())
         return total
 
-    def _recently(self, endpoint: str, now: float) -> float:
+    def _recent_tokens(self, endpoint: str, now: float) -> float:
         """Returns the prompt tokens that this instance sent lately."""
-        tokens, at = self._recent.get(endpoint, (0.0, now))
-        return tokens * math.exp((at - now) / RECENT)
+        tokens, at = self._recent_prompts.get(endpoint, (0.0, now))
+        return tokens * math.exp((at - now) / RECENT_DECAY_TIME)
 
-    def _count(self, loads: list[LoadShare], sign: int) -> None:
+    def _add_peer_loads(self, loads: list[EndpointLoad], sign: int) -> None:
         for share in loads:
-            total = self._totals.setdefault(share.endpoint, Load())
+            total = self._peer_totals.setdefault(share.endpoint, Load())
             total.add(share, sign)
             if not total.running:
-                del self._totals[share.endpoint]
+                del self._peer_totals[share.endpoint]
 
-    def shares(self) -> list[LoadShare]:
+    def own_load_report(self) -> list[EndpointLoad]:
         """Returns this instance's part, to tell others."""
         now = monotonic()
-        recent = {endpoint: self._recently(endpoint, now) for endpoint in self._recent}
-        self._recent = {name: (tokens, now) for name, tokens in recent.items() if tokens >= 1.0}
+        recent = {endpoint: self._recent_tokens(endpoint, now) for endpoint in self._recent_prompts}
+        self._recent_prompts = {
+            name: (tokens, now) for name, tokens in recent.items() if tokens >= 1.0
+        }
         return [
-            _share(endpoint, load, recent.get(endpoint, 0.0))
-            for endpoint, load in self._own.items()
+            _endpoint_load(endpoint, load, recent.get(endpoint, 0.0))
+            for endpoint, load in self._own_loads.items()
         ]
 
-    def shares_with(self, senders: Iterable[str]) -> list[LoadShare]:
+    def combined_load_report(self, senders: Iterable[str]) -> list[EndpointLoad]:
         """Returns the parts of this instance and of some others, added up."""
-        sums = {endpoint: Load() for endpoint in self._own}
-        for endpoint, load in self._own.items():
+        sums = {endpoint: Load() for endpoint in self._own_loads}
+        for endpoint, load in self._own_loads.items():
             sums[endpoint].add(load)
         for sender in senders:
-            for share in self._others.get(sender, ()):
+            for share in self._peer_loads.get(sender, ()):
                 sums.setdefault(share.endpoint, Load()).add(share)
         now = monotonic()
         return [
-            _share(endpoint, load, self._recently(endpoint, now)) for endpoint, load in sums.items()
+            _endpoint_load(endpoint, load, self._recent_tokens(endpoint, now))
+            for endpoint, load in sums.items()
         ]
 
-    def in_use(self, endpoint: str) -> list[AdapterKey]:
+    def adapters_in_use(self, endpoint: str) -> list[AdapterKey]:
         """Returns the adapters that this instance's requests use at an endpoint."""
-        return list(self._uses.get(endpoint, ()))
+        return list(self._adapter_uses.get(endpoint, ()))
 
 
-def _share(endpoint: str, load: Load, own_recent: float) -> LoadShare:
+def _endpoint_load(endpoint: str, load: Load, own_recent: float) -> EndpointLoad:
     recent = int(load.recent_tokens + own_recent)
     tokens = (int(load.waiting_tokens), int(load.kv_tokens), recent)
-    return LoadShare(endpoint, load.running, *tokens)
+    return EndpointLoad(endpoint, load.running, *tokens)
--- a/packages/wigeonarch-runtime/src/wigeonarch_runtime/logqueue.py
+++ b/packages/wigeonarch-runtime/src/wigeonarch_runtime/logqueue.py
@@ -12,9 +12,11 @@
 from collections import deque
 from typing import Final
 
-LINES: Final = 4_000  # Some seconds of the busiest instance, about a megabyte.
-BATCH: Final = 200  # Lines in one write.
-PAUSE: Final = 0.05  # Seconds between writes, so that a line does not wake the thread by itself.
+MAX_LINES: Final = 4_000  # Some seconds of the busiest instance, about a megabyte.
+LINES_PER_WRITE: Final = 200  # Lines in one write.
+WRITE_INTERVAL: Final = (
+    0.05  # Seconds between writes, so that a line does not wake the thread by itself.
+)
 
 
 class LogQueue:
@@ -24,7 +26,7 @@
         dropped: Lines dropped so far.
     """
 
-    def __init__(self, fd: int, bound: int = LINES) -> None:
+    def __init__(self, fd: int, bound: int = MAX_LINES) -> None:
         self._fd = fd
         self._bound = bound
         self._lines: deque[str] = deque()
@@ -59,12 +61,12 @@
                 if self._stop.is_set():
                     self._idle.set()
                     return
-                self._stop.wait(PAUSE)
+                self._stop.wait(WRITE_INTERVAL)
                 continue
             self._write_batch()
 
     def _write_batch(self) -> None:
-        batch = [self._lines.popleft() for _ in range(min(BATCH, len(self._lines)))]
+        batch = [self._lines.popleft() for _ in range(min(LINES_PER_WRITE, len(self._lines)))]
         if self.dropped > self._told:
             batch.append(f"level=warning event=log_lines_dropped count={self.dropped}\n")
             self._told = self.dropped
--- a/packages/wigeonarch-runtime/src/wigeonarch_runtime/logs.py
+++ b/packages/wigeonarch-runtime/src/wigeonarch_runtime/logs.py
@@ -65,7 +65,7 @@
     _sink.flush(timeout)
 
 
-def dropped() -> int:
+def dropped_lines() -> int:
     """Returns the lines that nobody took in time."""
     return _sink.dropped
 
--- a/tests/gateway_slopes.py
+++ b/tests/gateway_slopes.py
@@ -21,8 +21,8 @@
 from ports import free_port
 from standins.replica import Replica
 from standins.store import StoreStandIn
-from wigeonarch_gateway.links import Links
-from wigeonarch_gateway.options import HoldingOptions, StoreOptions
+from wigeonarch_gateway.options import LeaseOptions, StoreOptions
+from wigeonarch_gateway.peer_socket import PeerSocket
 
 SETTLE: Final = 12.0  # Seconds until engines are held and all have heard each other.
 MEASURE: Final = 8.0  # Seconds.
@@ -31,17 +31,17 @@
 async def measure(gateways: int, engines: int) -> str:
     """Returns a line with the cost of one gateway."""
     logger.remove()
-    gateway_world.HOLDING = HoldingOptions()
+    gateway_world.HOLDING = LeaseOptions()
     gateway_world.STORE = StoreOptions()
     sent = [0, 0]
-    plain = Links.send_frame
+    plain = PeerSocket.send_frame
 
-    def counted(self: Links, address: str, frame: bytes) -> bool:
+    def counted(self: PeerSocket, address: str, frame: bytes) -> bool:
         sent[0] += 1
         sent[1] += len(frame)
         return plain(self, address, frame)
 
-    Links.send_frame = counted  # type: ignore[method-assign]
+    PeerSocket.send_frame = counted  # type: ignore[method-assign]
     store = StoreStandIn()
     await store.start()
     await store.put("config", "main", configuration())
@@ -68,7 +68,7 @@
     for replica in found.replicas:
         await replica.stop()
     await store.stop()
-    Links.send_frame = plain  # type: ignore[method-assign]
+    PeerSocket.send_frame = plain  # type: ignore[method-assign]
     return line
 
 
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -18,10 +18,10 @@
 from ports import free_port
 from standins.replica import Replica
 from standins.store import StoreStandIn
-from wigeonarch_core.quota_bank import QuotaBounds
+from wigeonarch_core.quota_ledger import QuotaBounds
 from wigeonarch_core.store_contact import LapseTimes, StoreContact
 from wigeonarch_gateway.node import Node
-from wigeonarch_gateway.options import HoldingOptions, Options, RetryOptions, StoreOptions
+from wigeonarch_gateway.options import LeaseOptions, Options, RetryOptions, StoreOptions
 from wigeonarch_platform.dialect import DIALECT
 from wigeonarch_platform.store import Store
 from yarl import URL
@@ -30,9 +30,9 @@
 WAIT = 20.0  # Seconds after which a condition that must come true has failed; nothing is timed.
 STEP = 0.03  # Seconds between looks at a condition.
 # Short leases, so that takeovers happen within a test.
-HOLDING = HoldingOptions(term=1.5, margin=0.3, renewal=0.3, pause=0.5)
+HOLDING = LeaseOptions(term=1.5, margin=0.3, renewal=0.3, pause=0.5)
 STORE = StoreOptions(
-    watch=0.5, watch_configuration=0.5, gather=0.05, retry=0.05, returned=0.6, lapse=0.2
+    watch=0.5, watch_configuration=0.5, batch_pause=0.05, retry=0.05, return_time=0.6, lapse=0.2
 )
 
 
@@ -91,7 +91,7 @@
 
 
 @dataclass
-class Answer:
+class CallerResponse:
     """What a caller got; `complete` is False when the connection ended too early."""
 
     status: int
@@ -133,9 +133,9 @@
             peer_port=self.peer_port,
             metrics_port=free_port(host),
             grace=6.0,
-            unready_noticed=0.3,
+            unready_detection_time=0.3,
             retries=RetryOptions(allowance=100.0),
-            holding=HOLDING,
+            leases=HOLDING,
             store=self.store_options,
             quotas=self.quotas,
         )
@@ -147,7 +147,7 @@
         self.tasks.append(asyncio.create_task(node.serve()))
         return node
 
-    async def ask(
+    async def send_request(
         self,
         path: str,
         body: bytes = b"",
@@ -155,7 +155,7 @@
         method: str = "POST",
         adapter: str = "",
         **headers: str,
-    ) -> Answer:
+    ) -> CallerResponse:
         """Sends a request on a new connection; returns what came back."""
         self.sent += 1
         own = {"Host": HOST, "X-Request-Id": f"r{self.sent}", "X-Deadline-Ms": "5000"}
@@ -176,9 +176,9 @@
             except aiohttp.ClientPayloadError:
                 complete = False
             found = {name.lower(): value for name, value in resp.headers.items()}
-            return Answer(resp.status, found, b"".join(parts), complete)
+            return CallerResponse(resp.status, found, b"".join(parts), complete)
 
-    async def status(self, node: int = 0) -> int:
+    async def readiness_status(self, node: int = 0) -> int:
         """Returns what a gateway answers to the balancer; 0 when it does not."""
         url = f"http://{self.options[node].ready}/wigeonarch/readyz"
         try:
@@ -194,16 +194,16 @@
         async with aiohttp.ClientSession() as session, session.get(url) as resp:
             return await resp.text()
 
-    def holder(self, endpoint: str) -> str:
+    def recorded_owner(self, endpoint: str) -> str:
         """Returns the holder of an engine by the store; empty when there is none."""
         found = self.store.objects.get(("wigeonarch-holders", endpoint))
         return str(found["spec"]["holder"]) if found else ""
 
-    async def served(self, path: str, node: int = 0, adapter: str = "") -> None:
+    async def wait_until_served(self, path: str, node: int = 0, adapter: str = "") -> None:
         """Waits until requests of a path are answered."""
 
         async def ok() -> bool:
-            return (await self.ask(path, node=node, adapter=adapter)).status == 200
+            return (await self.send_request(path, node=node, adapter=adapter)).status == 200
 
         await until(ok)
 
@@ -246,10 +246,10 @@
         await standin.stop()
 
 
-def contact(opts: StoreOptions | None = None) -> StoreContact:
+def new_store_contact(opts: StoreOptions | None = None) -> StoreContact:
     """Returns the contact with the store of an instance that has had no answer yet."""
     opts = opts or StoreOptions()
-    return StoreContact(LapseTimes(opts.lapse, opts.returned, opts.contact))
+    return StoreContact(LapseTimes(opts.lapse, opts.return_time, opts.contact))
 
 
 def cut_from_store(node: Node) -> str:
@@ -260,6 +260,6 @@
     return address
 
 
-def decoded(body: bytes) -> Any:
+def parse_json(body: bytes) -> Any:
     """Returns a JSON document."""
     return json.loads(body)
--- a/tests/machine_configuration.py
+++ b/tests/machine_configuration.py
@@ -15,19 +15,19 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from wigeonarch_core import acceptance, serving_right
-from wigeonarch_core.acceptance import Lagging, Member
+from wigeonarch_core.acceptance import LaggingInstance, Member
 from wigeonarch_core.catalogue import Catalogue
 from wigeonarch_core.changelog import Change, Put, Snapshot
 from wigeonarch_core.entries import Service, ServiceKind
-from wigeonarch_core.lease import SeenLease
+from wigeonarch_core.lease import PeerLease
 from wigeonarch_core.messages import ChangeNotice, Heartbeat
 from wigeonarch_core.outcomes import Reason
 from wigeonarch_core.records import LeaseRecord
 from wigeonarch_core.replica import Replica
 from wigeonarch_core.serving_right import (
     LeasePeriod,
-    Reach,
-    Situation,
+    PlatformReachability,
+    ServingState,
     ZonePeer,
     ZoneView,
 )
@@ -44,7 +44,7 @@
     """What one instance knows of another one."""
 
     record: LeaseRecord
-    lease: SeenLease
+    lease: PeerLease
     beat: Heartbeat | None = None
 
 
@@ -56,7 +56,9 @@
     boot: str
     period: LeasePeriod
     replica: Replica = field(default_factory=Replica)
-    reach: Reach = field(default_factory=lambda: Reach(SILENCE, TIMEOUT + MARGIN))
+    reach: PlatformReachability = field(
+        default_factory=lambda: PlatformReachability(SILENCE, TIMEOUT + MARGIN)
+    )
     view: ZoneView = field(default_factory=lambda: ZoneView(TIMEOUT))
     seen: dict[str, Seen] = field(default_factory=dict)
     is_paused: bool = False
@@ -134,7 +136,7 @@
         if node and not node.is_cut:
             node.renewing = self.now
             self.revision += 1
-            settled = node.reach.settled(self.now)
+            settled = node.reach.is_settled(self.now)
             record = LeaseRecord(
                 name, ZONES[name], node.boot, "", "", TERM, node.applied, False, settled
             )
@@ -144,8 +146,8 @@
     def renew_ends(self, name: str) -> None:
         node = self._awake(name)
         if node and node.renewing is not None:
-            node.period.renewed(node.renewing, self.now)
-            node.reach.answered(self.now)
+            node.period.record_renewal(node.renewing, self.now)
+            node.reach.record_answer(self.now)
             node.renewing = None
 
     @rule(name=NAMES)
@@ -160,10 +162,10 @@
         if node and node.reading:
             began, log = node.reading
             for number, change in enumerate(log or [], 1):
-                node.replica.take(number, change)
-            node.replica.read(began, log is not None)
+                node.replica.add(number, change)
+            node.replica.record_read(began, log is not None)
             if log is not None:
-                node.reach.answered(self.now)
+                node.reach.record_answer(self.now)
             node.reading = None
 
     @rule(name=NAMES)
@@ -171,7 +173,7 @@
         node = self._awake(name)
         if node and not node.is_cut:
             self._saw(node, self.leases)
-            node.reach.answered(self.now)
+            node.reach.record_answer(self.now)
 
     def _saw(self, node: Node, leases: dict[str, tuple[int, LeaseRecord]]) -> None:
         for name, (version, record) in leases.items():
@@ -181,10 +183,10 @@
             if known is None or (
                 known.record.boot != record.boot and version > known.lease.version
             ):
-                node.seen[name] = Seen(record, SeenLease(TERM, MARGIN, version, self.now))
+                node.seen[name] = Seen(record, PeerLease(TERM, MARGIN, version, self.now))
             elif version > known.lease.version:
                 known.record = record
-                known.lease.saw(version, self.now)
+                known.lease.observe(version, self.now)
 
     @rule(name=NAMES)
     def beats(self, name: str) -> None:
@@ -198,9 +200,9 @@
                 applied=node.applied,
                 draining=False,
                 platform=True,
-                leased=node.period.holds(self.now),
-                reaches=node.reach.reaches(self.now),
-                settled=node.reach.settled(self.now),
+                leased=node.period.is_valid(self.now),
+                reaches=node.reach.is_reachable(self.now),
+                settled=node.reach.is_settled(self.now),
                 sent=self.now,
                 echo=seen.beat.sent if seen.beat else 0.0,
             )
@@ -223,7 +225,7 @@
         if not doubled:
             del self.messages[place]
         if isinstance(message, ChangeNotice):
-            node.replica.take(message.number, message.change)
+            node.replica.add(message.number, message.change)
             return
         seen = node.seen.get(sender)
         if seen and seen.record.boot == message.boot:
@@ -231,7 +233,7 @@
         if ZONES[sender] == ZONES[receiver]:
             heard = heard_at(message, self.now)
             peer = ZonePeer(sender, heard, message.leased, message.reaches, message.applied)
-            node.view.heard(peer)
+            node.view.record(peer)
 
     @rule(pick=PICK)
     def lose(self, pick: int) -> None:
@@ -247,7 +249,7 @@
         number = len(self.log) + 1
         change = Change(f"op-{number}", Put(Service("s", ServiceKind.PLAIN), expected))
         self.log.append(change)
-        node.replica.take(number, change)
+        node.replica.add(number, change)
         for other in node.seen:
             self._send(name, other, ChangeNotice(number, name, change))
 
@@ -265,13 +267,15 @@
         (number, asked_at, leases), node.judging = node.judging, None
         self._saw(node, leases)
         members = [
-            acceptance.member(s.record, s.beat, number, not s.lease.lapsed(asked_at), True)
+            acceptance.build_member(
+                s.record, s.beat, number, not s.lease.has_lapsed(asked_at), True
+            )
             for s in node.seen.values()
         ]
-        leased = node.period.holds(asked_at)
-        settled = node.reach.settled(asked_at)
+        leased = node.period.is_valid(asked_at)
+        settled = node.reach.is_settled(asked_at)
         members.append(Member(name, ZONES[name], node.applied, leased, True, settled))
-        if not acceptance.lagging(number, members):
+        if not acceptance.find_lagging(number, members):
             self.accepted = max(self.accepted, number)
 
     @rule(name=NAMES)
@@ -313,7 +317,7 @@
     @invariant()
     def whoever_serves_has_what_is_accepted(self) -> None:
         for node in self.nodes.values():
-            if not node.is_paused and serving_right.refusal(self._situation(node)) is None:
+            if not node.is_paused and serving_right.refusal_reason(self._situation(node)) is None:
                 assert node.applied >= self.accepted, (node, self.accepted, self.now)
 
     @invariant()
@@ -322,19 +326,19 @@
             assert node.applied >= self.highest.get(node.boot, 0), node
             self.highest[node.boot] = node.applied
 
-    def _situation(self, node: Node) -> Situation:
-        return Situation(
-            informed=node.replica.informed,
-            leased=node.period.holds(self.now),
-            ever_leased=node.period.ever,
+    def _situation(self, node: Node) -> ServingState:
+        return ServingState(
+            has_configuration=node.replica.has_configuration,
+            leased=node.period.is_valid(self.now),
+            ever_leased=node.period.ever_valid,
             leased_since=node.period.since,
-            lapsed_at=node.period.lapsed(self.now),
-            caught_up=node.replica.caught_up,
-            tried=node.replica.tried,
+            lapsed_at=node.period.last_ended_at(self.now),
+            caught_up_at=node.replica.caught_up_at,
+            last_attempt=node.replica.last_attempt,
             applied=node.applied,
             newest=node.view.newest,
-            others=any(ZONES[name] == ZONES[node.name] for name in node.seen),
-            heard=node.view.recent(self.now),
+            others_known=any(ZONES[name] == ZONES[node.name] for name in node.seen),
+            recent_peers=node.view.recent_peers(self.now),
         )
 
 
@@ -343,16 +347,16 @@
     return beat.echo
 
 
-def _nobody_lags(number: int, members: list[Member]) -> tuple[Lagging, ...]:
+def _nobody_lags(number: int, members: list[Member]) -> tuple[LaggingInstance, ...]:
     return ()
 
 
-def _serves_without_a_lease(at: Situation) -> Reason | None:
-    return None if at.informed else Reason.NO_CONFIGURATION
+def _serves_without_a_lease(at: ServingState) -> Reason | None:
+    return None if at.has_configuration else Reason.NO_CONFIGURATION
 
 
-def _serves_unread(at: Situation) -> Reason | None:
-    if at.informed and at.leased:
+def _serves_unread(at: ServingState) -> Reason | None:
+    if at.has_configuration and at.leased:
         return None
     return _REFUSAL(at)
 
@@ -361,7 +365,7 @@
     return member.leased and member.applied < number
 
 
-_REFUSAL = serving_right.refusal
+_REFUSAL = serving_right.refusal_reason
 _RESTORE = Catalogue.restore
 
 
@@ -429,20 +433,23 @@
 SCHEDULES = (paused_across_a_change, paused_and_renewed, neighbour_is_back, held_up_heartbeat)
 
 # Defects that random schedules find, then those that need a schedule of their own.
-DEFECTS["accepted before it is applied"] = (acceptance, "lagging", _nobody_lags)
-DEFECTS["a zone without leases does not count"] = (acceptance, "_lacks", _only_leases_count)
+DEFECTS["accepted before it is applied"] = (acceptance, "find_lagging", _nobody_lags)
+DEFECTS["a zone without leases does not count"] = (acceptance, "_is_lagging", _only_leases_count)
 DEFECTS["an older snapshot is taken"] = (Catalogue, "restore", _restore_any)
 
 SCHEDULED = {
     "a lapsed instance serves": (
         paused_across_a_change,
-        (serving_right, "refusal", _serves_without_a_lease),
+        (serving_right, "refusal_reason", _serves_without_a_lease),
     ),
     "the log is not read after a new lease": (
         paused_and_renewed,
-        (serving_right, "refusal", _serves_unread),
+        (serving_right, "refusal_reason", _serves_unread),
+    ),
+    "reach counts at once": (
+        neighbour_is_back,
+        (PlatformReachability, "is_settled", PlatformReachability.is_reachable),
     ),
-    "reach counts at once": (neighbour_is_back, (Reach, "settled", Reach.reaches)),
     "held up heartbeats count as new": (
         held_up_heartbeat,
         (__import__(__name__), "heard_at", lambda _beat, now: now),
--- a/tests/machine_keys.py
+++ b/tests/machine_keys.py
@@ -15,7 +15,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from wigeonarch_core import idempotency, key_answers, key_stamps
-from wigeonarch_core.idempotency import Attempt, GivenUp, KeyState, Read, Taken, Taking, Write
+from wigeonarch_core.idempotency import (
+    GivenUp,
+    KeyAttempt,
+    KeyState,
+    Read,
+    Taken,
+    TakeResult,
+    Write,
+)
 from wigeonarch_core.outcomes import Answered, NotRun, Outcome, Reason, Unknown
 from wigeonarch_core.records import KeyRecord
 
@@ -45,9 +53,9 @@
 
     key: str
     stamped: str
-    attempt: Attempt
+    attempt: KeyAttempt
     began: float
-    taking: Taking | None = None
+    taking: TakeResult | None = None
     sent: Flight | None = None
     dispatched: bool = False
     outcome: Outcome | None = None
@@ -86,7 +94,7 @@
             key_stamps.expiry(self.now, RETENTION),
             key,
         )
-        self.works.append(Work(key, stamped, Attempt(record), self.now))
+        self.works.append(Work(key, stamped, KeyAttempt(record), self.now))
 
     def _pick(self, pick: int, works: list[Work]) -> Work:
         return works[pick % len(works)]
@@ -98,21 +106,21 @@
     @rule(pick=PICK)
     def step(self, pick: int) -> None:
         work = self._pick(pick, self._taking())
-        step = work.attempt.next
+        step = work.attempt.next_call
         if isinstance(step, Write):
             work.sent = Flight(work.key, work.attempt.record, step.expected, work)
             self.flights.append(work.sent)
             return
         assert isinstance(step, Read)
         version, record = self.store.get(work.key, (0, None))
-        self._decide(work, work.attempt.found(record, version))
+        self._decide(work, work.attempt.examine(record, version))
 
     @precondition(lambda self: self._taking())
     @rule(pick=PICK)
     def unreadable(self, pick: int) -> None:
         work = self._pick(pick, self._taking())
-        if isinstance(work.attempt.next, Read):
-            self._decide(work, work.attempt.unreadable())
+        if isinstance(work.attempt.next_call, Read):
+            self._decide(work, work.attempt.record_unreadable())
 
     @precondition(lambda self: self.flights)
     @rule(pick=PICK, doubled=st.booleans())
@@ -135,16 +143,16 @@
         assert work.sent is not None
         version, work.sent = work.sent.result, None
         if version:
-            self._decide(work, work.attempt.written(version))
+            self._decide(work, work.attempt.record_write(version))
         else:
-            work.attempt.refused()
+            work.attempt.record_conflict()
 
     @precondition(lambda self: any(w.sent for w in self.works))
     @rule(pick=PICK)
     def no_answer(self, pick: int) -> None:
         work = self._pick(pick, [w for w in self.works if w.sent])
         work.sent = None
-        self._decide(work, work.attempt.unanswered(maybe=True))
+        self._decide(work, work.attempt.record_no_answer(may_have_written=True))
 
     @precondition(lambda self: any(self._may_go_on(w) for w in self.works))
     @rule(pick=PICK, ends=st.sampled_from(["answered", "unknown", "refused"]))
@@ -201,7 +209,7 @@
     def _may_go_on(self, work: Work) -> bool:
         return isinstance(work.taking, Taken) and not work.dispatched
 
-    def _decide(self, work: Work, taking: Taking | None) -> None:
+    def _decide(self, work: Work, taking: TakeResult | None) -> None:
         work.taking = taking
         if isinstance(taking, GivenUp):
             work.outcome = NotRun(Reason.PLATFORM_DOWN)
@@ -210,14 +218,14 @@
     def _free_later(self, work: Work) -> None:
         version, record = self.store.get(work.key, (0, None))
         if record is not None and record.nonce == work.attempt.record.nonce:
-            freed = key_answers.settled(record, NotRun(Reason.PLATFORM_DOWN))
+            freed = key_answers.completed_record(record, NotRun(Reason.PLATFORM_DOWN))
             if freed is not None and record.state == KeyState.HELD:
                 self.flights.append(Flight(work.key, freed, version, None))
 
     def _settle(self, work: Work, outcome: Outcome) -> None:
         assert isinstance(work.taking, Taken)
         work.outcome = outcome
-        record = key_answers.settled(work.attempt.record, outcome)
+        record = key_answers.completed_record(work.attempt.record, outcome)
         if record is not None:
             self.flights.append(Flight(work.key, record, work.taking.version, None))
 
@@ -234,7 +242,7 @@
     """Takes any held record for the own one."""
     if found is not None and found.state == KeyState.HELD:
         return idempotency.Step.RUN
-    return idempotency.Step.CREATE if found is None else idempotency.Step.TELL_KNOWN
+    return idempotency.Step.CREATE if found is None else idempotency.Step.ANSWER_FROM_RECORD
 
 
 def _settled_always_free(record: KeyRecord, outcome: Outcome, version: str = "") -> KeyRecord:
@@ -242,7 +250,7 @@
     return msgspec.structs.replace(record, state=KeyState.FREE)
 
 
-DEFECTS["no nonce read-back"] = (idempotency, "judge", _judge_without_nonce)
-DEFECTS["free after dispatch"] = (key_answers, "settled", _settled_always_free)
+DEFECTS["no nonce read-back"] = (idempotency, "next_step", _judge_without_nonce)
+DEFECTS["free after dispatch"] = (key_answers, "completed_record", _settled_always_free)
 DEFECTS["no look at the age before dispatch"] = (idempotency, "may_dispatch", lambda *_: True)
 DEFECTS["keys without an age"] = (key_stamps, "is_usable", lambda *_: True)
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -41,9 +41,9 @@
     ),
     "chunks ahead of their turn wait": Mechanism(
         3,
-        f"{CORE}/inorder.py",
-        "if number >= self.due + AHEAD:",
-        "if number > self.due:",
+        f"{CORE}/reorder_buffer.py",
+        "if number >= self.next_number + MAX_AHEAD:",
+        "if number > self.next_number:",
         "chunksOutOfOrderAndDoubled",
     ),
     "chunks of other dispatches are dropped": Mechanism(
@@ -63,15 +63,15 @@
     "a resume that brings chunks renews the patience": Mechanism(
         3,
         f"{ENTRY}/reading.py",
-        "if self._tally.next_seq > begun:",
+        "if self._answer.next_seq > next_seq:",
         "if False:",
         "streamSilentAgainAndAgain",
     ),
     "a stream is resumed for a while": Mechanism(
         3,
         f"{ENTRY}/reading.py",
-        "PATIENCE: Final = 3",
-        "PATIENCE: Final = 0",
+        "RESUME_WINDOW_FACTOR: Final = 3",
+        "RESUME_WINDOW_FACTOR: Final = 0",
         "engineCutOffForAWhileUnderAStream",
     ),
     "a refused retry does not undo an attempt that ran": Mechanism(
@@ -112,22 +112,22 @@
     "a lost answer is asked for again": Mechanism(
         4,
         f"{ENTRY}/endpoints.py",
-        "if e.listed.name not in progress.tried] or left",
-        "if e.listed.name not in progress.tried]",
+        "if e.listed.name not in progress.avoided] or allowed",
+        "if e.listed.name not in progress.avoided]",
         "postIsNotSentAgainOnAPooledConnection",
     ),
     "an endpoint's refusal is what is told": Mechanism(
         4,
         f"{CORE}/lifecycle.py",
-        "if not isinstance(earlier, NotRun) or latest.reason in _NOWHERE:",
+        "if not isinstance(earlier, NotRun) or latest.reason in _NO_ENDPOINT_REASONS:",
         "if not isinstance(earlier, NotRun):",
         "endpointsRefuse",
     ),
     "the list's leaving counts": Mechanism(
         6,
         f"{CORE}/fleet.py",
-        "return self.left or self.listed.state is Presence.LEAVING",
-        "return self.left",
+        "return self.declared_leaving or self.listed.state is Presence.LEAVING",
+        "return self.declared_leaving",
         "leavingByTheList",
     ),
     "the report's leaving counts": Mechanism(
@@ -140,15 +140,15 @@
     "a refusal's leaving counts": Mechanism(
         6,
         f"{CORE}/fleet.py",
-        "known.left = True",
-        "known.left = known.left",
+        "known.declared_leaving = True",
+        "known.declared_leaving = known.declared_leaving",
         "leavingByItsRefusalAlone",
     ),
     "the door stays open until balancers know": Mechanism(
         7,
         f"{ENTRY}/node.py",
-        'await self._awaited("balancers", seen)',
-        "seen.cancel()",
+        'await self._await_drain_step("balancers", notice)',
+        "notice.cancel()",
         "idleInstanceAnswersUntilBalancersHaveSeen",
     ),
     "a draining instance takes no request": Mechanism(
@@ -161,22 +161,22 @@
     "asks wait while their engine is handed over": Mechanism(
         7,
         f"{ENTRY}/owners.py",
-        "if self.hand_overs.is_coming(ask.engine) and ask.engine not in self._ctx.owned:",
+        "if self.hand_overs.is_offered(request.engine) and request.engine not in self._ctx.owned:",
         "if False:",
         "shutdownUnderStreamsAndQueuedGrants",
     ),
     "an owner stays until it can hand over": Mechanism(
         7,
         f"{ENTRY}/owners.py",
-        "if not heirs or (not self._ctx.owned and (answered or heirs > 1)):",
+        "if not successors or (not self._ctx.owned and (platform_answers or successors > 1)):",
         "if True:",
         "shutdownInAPlatformOutage",
     ),
     "the last but one stays in an outage": Mechanism(
         7,
         f"{ENTRY}/owners.py",
-        "(answered or heirs > 1)",
-        "(answered or heirs > 0)",
+        "(platform_answers or successors > 1)",
+        "(platform_answers or successors > 0)",
         "lastButOneStaysInAPlatformOutage",
     ),
 }
