--- a/tests/ownership_world.py
+++ b/tests/ownership_world.py
@@ -15,17 +15,17 @@
 from typing import Any, Final
 
 import msgspec
-from wigeonarch_core.asking import Asking
-from wigeonarch_core.custody import Custody
 from wigeonarch_core.decisions import Grant
+from wigeonarch_core.engine_grants import EngineGrants
 from wigeonarch_core.engine_report import EngineReport, LoadedAdapter
 from wigeonarch_core.fleet import Fleet
+from wigeonarch_core.grant_requests import GrantRequests
 from wigeonarch_core.lease import HeldLease
 from wigeonarch_core.listing import Listed, Role
 from wigeonarch_core.messages import (
-    Ask,
     DeclarePins,
     Granted,
+    GrantRequest,
     Heartbeat,
     HeldPins,
     Message,
@@ -33,13 +33,20 @@
     Release,
     Support,
 )
-from wigeonarch_core.ownership import Claim, Holding, Standing, confirmed, may_take_over, plan
+from wigeonarch_core.ownership import (
+    Claim,
+    HeldOwnership,
+    LocalState,
+    is_confirmed,
+    may_take_over,
+    plan_moves,
+)
 from wigeonarch_core.policy_options import PolicyOptions
 from wigeonarch_core.promises import PromisesGiven, PromisesHeld
-from wigeonarch_core.quarantine import Quarantine, QuarantineBounds
 from wigeonarch_core.records import LeaseRecord, OwnerRecord
 from wigeonarch_core.refs import AdapterVersion
 from wigeonarch_core.scheduler import EngineScheduler
+from wigeonarch_core.takeover_quarantine import QuarantineBounds, TakeoverQuarantine
 
 ENGINE: Final = "engine"
 SERVICE: Final = "drafting"
@@ -89,7 +96,7 @@
     running: dict[str, tuple[AdapterVersion, float]] = field(default_factory=dict)
     fence: int = 0
     incarnation: int = 1
-    harm: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     def order(self, order: Order) -> bool:
         if self.checks_fence and order.fence < self.fence:
@@ -98,7 +105,7 @@
         if order.victim is not None and order.victim in self.loaded:
             used = [name for name, (target, _) in self.running.items() if target == order.victim]
             if used:
-                self.harm.append(f"{order} evicted {order.victim} in use by {used}")
+                self.violations.append(f"{order} evicted {order.victim} in use by {used}")
             self.loaded.discard(order.victim)
         if order.target is not None and len(self.loaded) < 2:
             self.loaded.add(order.target)
@@ -128,66 +135,68 @@
         self.mutation = mutation
         self.platform = Platform()
         self.engine = Engine(checks_fence)
-        self.sent: list[tuple[str, str, Message]] = []
-        self.late: list[tuple[str, str, Message]] = []
-        self.orders: list[Order] = []
-        self.cut: set[str] = set()
+        self.in_transit: list[tuple[str, str, Message]] = []
+        self.delayed: list[tuple[str, str, Message]] = []
+        self.pending_orders: list[Order] = []
+        self.cut_off: set[str] = set()
         self.muted: set[str] = set()
-        self.lasting: dict[str, float] = {}
+        self.durations: dict[str, float] = {}
         self.numbers = itertools.count(1)
         self.processes = {name: Process(self, name) for name in RATES}
 
     def advance(self, seconds: float) -> None:
         self.clock += seconds
         for name in [k for k, used in self.engine.running.items() if used[1] <= self.clock]:
-            self.finish(name)
+            self.finish_request(name)
 
-    def flow(self) -> None:
+    def deliver_messages(self) -> None:
         """Delivers all messages, and those that they cause; a muted process's are held up."""
-        while self.sent:
-            sender, name, message = self.sent.pop(0)
+        while self.in_transit:
+            sender, name, message = self.in_transit.pop(0)
             if self.muted & {sender, name} and sender != name:
-                self.late.append((sender, name, message))
+                self.delayed.append((sender, name, message))
             else:
                 self.processes[name].receive(message)
         for process in self.processes.values():
-            process.act()
+            process.run_pending_actions()
 
-    def work(self, seconds: float, *, reports: bool = True) -> None:
+    def run(self, seconds: float, *, reports: bool = True) -> None:
         """Lets all that are not frozen do their duties once a half second."""
         until = self.clock + seconds
         while self.clock < until:
             self.advance(0.5)
             for process in self.processes.values():
-                process.tick()
+                process.run_duties()
                 if reports:
                     process.read_report()
-            self.flow()
+            self.deliver_messages()
 
-    def bring_late(self, *kinds: type) -> None:
+    def deliver_delayed(self, *kinds: type) -> None:
         """Delivers the messages that were held up; of some kinds only, if there are any given."""
-        late = [each for each in self.late if not kinds or isinstance(each[2], kinds)]
-        self.late = [each for each in self.late if each not in late]
+        late = [each for each in self.delayed if not kinds or isinstance(each[2], kinds)]
+        self.delayed = [each for each in self.delayed if each not in late]
         for _, name, message in late:
             self.processes[name].receive(message)
-        self.flow()
+        self.deliver_messages()
 
-    def bring_orders(self) -> None:
+    def deliver_orders(self) -> None:
         """Brings all orders under way to the engine."""
-        orders, self.orders = self.orders, []
+        orders, self.pending_orders = self.pending_orders, []
         for order in orders:
-            self.carry(order)
+            self.execute_order(order)
 
-    def carry(self, order: Order) -> None:
+    def execute_order(self, order: Order) -> None:
         """Brings an order to the engine, and its answer to the owner."""
         done = self.engine.order(order)
-        self.processes[order.owner].later(lambda process: process.ordered(order, done))
+        self.processes[order.owner].run_when_thawed(
+            lambda process: process.on_order_done(order, done)
+        )
 
-    def finish(self, ask: str) -> None:
+    def finish_request(self, ask: str) -> None:
         """Ends a request on the engine; its asker hears of it when it runs."""
         self.engine.running.pop(ask, None)
         for process in self.processes.values():
-            process.later(lambda each: each.finished(ask))
+            process.run_when_thawed(lambda each: each.on_request_finished(ask))
 
     def kill(self, name: str) -> None:
         """Ends a process and starts another one of the same name."""
@@ -202,18 +211,18 @@
         mutation = world.mutation
         self.boot = f"{name}{next(world.numbers)}"
         self.frozen = False
-        self.hands: list[Callable[[Process], None]] = []
+        self.pending_actions: list[Callable[[Process], None]] = []
         self.fleet = Fleet(name, "zone", self.boot, MARGIN, TERM, self.now)
-        self.fleet.saw_list([Listed(ENGINE, "127.0.0.1:1", "zone", Role.ENGINE, SERVICE)])
+        self.fleet.observe_list([Listed(ENGINE, "127.0.0.1:1", "zone", Role.ENGINE, SERVICE)])
         # Without a margin the holder counts on its lease for as long as the others do.
         self.lease = HeldLease(TERM if mutation.margin else TERM + 2 * MARGIN, MARGIN)
-        self.given, self.held = PromisesGiven(TERM), PromisesHeld(TERM)
-        self.needed: list[str] = []
+        self.promises_given, self.promises_held = PromisesGiven(TERM), PromisesHeld(TERM)
+        self.needed_peers: list[str] = []
         validity = VALIDITY if mutation.recent_grants_only else 1e9
-        self.asking = Asking(name, self.boot, validity, POLICY.pin_margin)
-        self.asks: dict[str, tuple[Ask, float]] = {}
-        self.rounds: dict[str, Ask] = {}
-        self.custody: Custody | None = None
+        self.grant_requests = GrantRequests(name, self.boot, validity, POLICY.pin_margin)
+        self.waiting_requests: dict[str, tuple[GrantRequest, float]] = {}
+        self.last_rounds: dict[str, GrantRequest] = {}
+        self.grants: EngineGrants | None = None
         self.scheduler = EngineScheduler(ENGINE, POLICY, self.now, service=SERVICE)
 
     @property
@@ -221,145 +230,147 @@
         return self.world.clock * RATES[self.name]
 
     @property
-    def cut(self) -> bool:
-        return self.name in self.world.cut
+    def is_cut_off(self) -> bool:
+        return self.name in self.world.cut_off
 
     def send(self, name: str, message: Message) -> None:
-        self.world.sent.append((self.name, name, message))
+        self.world.in_transit.append((self.name, name, message))
 
     def others(self) -> list[str]:
         return [name for name in RATES if name != self.name]
 
-    def later(self, act: Callable[[Process], None]) -> None:
+    def run_when_thawed(self, act: Callable[[Process], None]) -> None:
         """Does something now, or when the process is thawed."""
         if self.frozen:
-            self.hands.append(act)
+            self.pending_actions.append(act)
         else:
             act(self)
 
     def receive(self, message: Message) -> None:
-        self.later(lambda process: process.handle(message))
+        self.run_when_thawed(lambda process: process.handle(message))
 
     # What it does when it runs ------------------------------------------------------------------
 
-    def tick(self) -> None:
+    def run_duties(self) -> None:
         """All duties once, carried out at once."""
         if self.frozen:
             return
-        self.decide()
-        self.act()
+        self.decide_actions()
+        self.run_pending_actions()
 
-    def stall(self) -> None:
+    def decide_and_freeze(self) -> None:
         """All duties once, but the process is frozen with everything in hand."""
         if not self.frozen:
-            self.decide()
+            self.decide_actions()
             self.frozen = True
 
     def thaw(self) -> None:
         self.frozen = False
-        self.act()
+        self.run_pending_actions()
 
-    def act(self) -> None:
-        while self.hands and not self.frozen:
-            self.hands.pop(0)(self)
+    def run_pending_actions(self) -> None:
+        while self.pending_actions and not self.frozen:
+            self.pending_actions.pop(0)(self)
 
-    def decide(self) -> None:
+    def decide_actions(self) -> None:
         now = self.now
-        self.lease.alive(now)
-        self.beat()
-        if not self.cut:
-            self.renew(now)
-            self.sync(now)
-            self.claim(now)
+        self.lease.record_running(now)
+        self.send_heartbeat()
+        if not self.is_cut_off:
+            self.renew_lease(now)
+            self.read_platform(now)
+            self.plan_claims(now)
         if self.lease.wants_support(now):
-            number = self.held.ask(now)
+            number = self.promises_held.start_request(now)
             for name in self.others():
                 self.send(name, Support(number, self.record(), self.lease.version))
-        self.own(now)
-        for ask, deadline in list(self.asks.values()):
-            self.repeat(ask, deadline, now)
+        self.act_as_owner(now)
+        for ask, deadline in list(self.waiting_requests.values()):
+            self.repeat_request(ask, deadline, now)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         beat = Heartbeat(
-            self.name, "zone", self.boot, 0, False, not self.cut, (), self.promised_owners()
+            self.name, "zone", self.boot, 0, False, not self.is_cut_off, (), self.promised_owners()
         )
         for name in self.others():
             peer = self.world.processes[name]
             if not peer.frozen and not self.world.muted & {self.name, name}:
-                peer.fleet.heard(beat, peer.now)
+                peer.fleet.observe_heartbeat(beat, peer.now)
 
     def promised_owners(self) -> tuple[str, ...]:
-        return self.given.owners(self.now) if self.world.mutation.promises else ()
+        return self.promises_given.owners(self.now) if self.world.mutation.promises else ()
 
     def record(self) -> LeaseRecord:
         return LeaseRecord(self.name, "zone", self.boot, "", "", TERM, 0)
 
-    def renew(self, now: float) -> None:
+    def renew_lease(self, now: float) -> None:
         platform = self.world.platform
         version, stored = platform.leases.get(self.name, (0, None))
         if stored is not None and stored.boot != self.boot:
-            self.lease.replaced(version)
-        self.lease.trying(now)
+            self.lease.record_replacement(version)
+        self.lease.record_attempt(now)
         new = platform.write(platform.leases, self.name, self.record(), self.lease.version)
         if new:
-            self.hands.append(lambda process: process.renewed(now, new))
+            self.pending_actions.append(lambda process: process.on_lease_renewed(now, new))
 
-    def renewed(self, sent_at: float, version: int) -> None:
-        self.lease.renewed(sent_at, version, self.now)
+    def on_lease_renewed(self, sent_at: float, version: int) -> None:
+        self.lease.record_renewal(sent_at, version, self.now)
         if not self.world.mutation.generations:
             self.lease.generation = 1
-        live = self.fleet.live_in_zone(self.now)
-        self.needed = [name for name in live if name != self.name]
+        live = self.fleet.live_instances_in_zone(self.now)
+        self.needed_peers = [name for name in live if name != self.name]
 
-    def sync(self, now: float) -> None:
+    def read_platform(self, now: float) -> None:
         for version, record in self.world.platform.leases.values():
-            self.fleet.saw_lease(record, version, now)
+            self.fleet.observe_lease(record, version, now)
         for version, owner in self.world.platform.owners.values():
-            self.fleet.saw_owner(owner, version)
+            self.fleet.observe_owner(owner, version)
         held = self.fleet.owners.get(ENGINE)
         mine = held is not None and (held.owner, held.boot) == (self.name, self.boot)
-        if self.custody is not None and held is not None and not mine:
-            self.custody = None
+        if self.grants is not None and held is not None and not mine:
+            self.grants = None
 
     # Ownership ----------------------------------------------------------------------------------
 
-    def standing(self) -> Standing:
-        holdings = {ENGINE: self.custody.holding} if self.custody else {}
-        given = self.given if self.world.mutation.promises else PromisesGiven(TERM)
-        return Standing(self.lease, holdings, given, pause=1e9)
+    def local_state(self) -> LocalState:
+        holdings = {ENGINE: self.grants.ownership} if self.grants else {}
+        given = self.promises_given if self.world.mutation.promises else PromisesGiven(TERM)
+        return LocalState(self.lease, holdings, given, pause=1e9)
 
-    def claim(self, now: float) -> None:
-        for move in plan(self.fleet, self.standing(), now):
+    def plan_claims(self, now: float) -> None:
+        for move in plan_moves(self.fleet, self.local_state(), now):
             if not isinstance(move, Claim):
                 continue
-            if move.last and not may_take_over(self.fleet, self.standing(), move.last, now):
+            if move.previous and not may_take_over(
+                self.fleet, self.local_state(), move.previous, now
+            ):
                 continue
-            self.hands.append(partial(Process.write_claim, claim=move))
+            self.pending_actions.append(partial(Process.write_claim, claim=move))
 
     def write_claim(self, claim: Claim) -> None:
-        if self.cut or not self.lease.holds(self.now):
+        if self.is_cut_off or not self.lease.is_valid(self.now):
             return
         platform, generation = self.world.platform, self.lease.generation
         record = OwnerRecord(ENGINE, self.name, self.boot)
         version = platform.write(platform.owners, ENGINE, record, claim.expected)
         if version:
-            self.claimed(claim, version, generation)
+            self.on_claimed(claim, version, generation)
 
-    def claimed(self, claim: Claim, version: int, generation: int) -> None:
+    def on_claimed(self, claim: Claim, version: int, generation: int) -> None:
         now = self.now
-        self.fleet.saw_owner(OwnerRecord(ENGINE, self.name, self.boot), version)
-        if not self.lease.holds(now) or self.lease.generation != generation:
+        self.fleet.observe_owner(OwnerRecord(ENGINE, self.name, self.boot), version)
+        if not self.lease.is_valid(now) or self.lease.generation != generation:
             return
-        holding = Holding(version, generation, now)
+        holding = HeldOwnership(version, generation, now)
         announced = not (self.world.engine.checks_fence and self.world.mutation.fencing)
-        if self.custody is not None:
-            self.custody.holding, self.custody.announced = holding, announced
+        if self.grants is not None:
+            self.grants.ownership, self.grants.announced = holding, announced
             return
         settle = VALIDITY + POLICY.pin_margin + MARGIN
         bounds = QuarantineBounds(settle, LONGEST + POLICY.pin_margin + MARGIN)
-        quarantine = Quarantine(bounds, list(RATES), now)
+        quarantine = TakeoverQuarantine(bounds, list(RATES), now)
         is_new = claim.expected == 0 or not self.world.mutation.quarantine
-        self.custody = Custody(
+        self.grants = EngineGrants(
             ENGINE,
             holding,
             None if is_new else quarantine,
@@ -367,56 +378,56 @@
             validity=VALIDITY + MARGIN,
         )
         self.scheduler = EngineScheduler(ENGINE, POLICY, now, service=SERVICE)
-        self.scheduler.may_evict = self.custody.may_evict
+        self.scheduler.may_evict = self.grants.may_evict
 
-    def own(self, now: float) -> None:
-        custody = self.custody
+    def act_as_owner(self, now: float) -> None:
+        custody = self.grants
         if custody is None:
             return
         if not custody.announced:
-            announcement = Order(self.name, custody.holding.fence)
-            self.hands.append(lambda process: process.give(announcement))
+            announcement = Order(self.name, custody.ownership.fence)
+            self.pending_actions.append(lambda process: process.send_order(announcement))
         if not custody.may_act(self.lease, now):
             return
-        request = custody.ask_pins(self.name, now)
-        for asker in custody.askers_to_ask(now):
+        request = custody.request_declaration(self.name, now)
+        for asker in custody.instances_to_query(now):
             self.send(asker, request)
         if custody.quarantine is not None:
-            heard = self.fleet.heard_within(2.5, now)
+            heard = self.fleet.instances_heard_within(2.5, now)
             for asker in set(custody.quarantine.undeclared()) - set(heard):
-                custody.quarantine.declared(asker)
+                custody.quarantine.record_declaration(asker)
         for decided in self.scheduler.decide(now):
             if isinstance(decided, Grant):
-                self.tell(decided.ask, decided.asker, now)
-        bid = self.scheduler.bid(now)
+                self.send_grant(decided.dispatch_id, decided.requester, now)
+        bid = self.scheduler.best_bid(now)
         start = self.scheduler.start_load(bid.target, now) if bid else None
         if start is not None:
-            order = Order(self.name, custody.holding.fence, start.victim, start.target)
-            self.hands.append(lambda process: process.give(order))
+            order = Order(self.name, custody.ownership.fence, start.victim, start.target)
+            self.pending_actions.append(lambda process: process.send_order(order))
 
-    def tell(self, ask: str, asker: str, now: float) -> None:
-        assert self.custody is not None
-        known = self.rounds.get(ask)
+    def send_grant(self, ask: str, asker: str, now: float) -> None:
+        assert self.grants is not None
+        known = self.last_rounds.get(ask)
         number, boot = (known.round, known.boot) if known else (0, "")
-        self.custody.told(ask, asker, boot, now)
-        fence = self.custody.holding.fence
+        self.grants.record_grant(ask, asker, boot, now)
+        fence = self.grants.ownership.fence
         self.send(asker, Granted(ask, number, 0.0, 0.0, ENGINE, fence))
 
-    def give(self, order: Order) -> None:
+    def send_order(self, order: Order) -> None:
         """Judges an order again and sends it; only an engine that checks may get it late."""
-        now, custody = self.now, self.custody
-        if self.world.mutation.recheck and not self.still_right(order, custody, now):
-            self.ordered(order, False)
+        now, custody = self.now, self.grants
+        if self.world.mutation.recheck and not self.may_still_order(order, custody, now):
+            self.on_order_done(order, False)
             return
         if self.world.engine.checks_fence:
-            self.world.orders.append(order)
+            self.world.pending_orders.append(order)
             return
-        self.world.carry(order)
+        self.world.execute_order(order)
 
-    def still_right(self, order: Order, custody: Custody | None, now: float) -> bool:
-        if custody is None or custody.holding.fence != order.fence:
+    def may_still_order(self, order: Order, custody: EngineGrants | None, now: float) -> bool:
+        if custody is None or custody.ownership.fence != order.fence:
             return False
-        if not confirmed(custody.holding, self.lease, now):
+        if not is_confirmed(custody.ownership, self.lease, now):
             return False
         if order.victim is None:
             return True
@@ -424,131 +435,141 @@
         unused = self.scheduler.pin_count(order.victim) == 0
         return enough and unused and custody.may_evict(order.victim, now)
 
-    def ordered(self, order: Order, done: bool) -> None:
-        custody = self.custody
-        if custody is None or custody.holding.fence != order.fence:
+    def on_order_done(self, order: Order, done: bool) -> None:
+        custody = self.grants
+        if custody is None or custody.ownership.fence != order.fence:
             return
         if order.target is None:
             custody.announced = custody.announced or done
             return
-        self.scheduler.load_ended(order.target, done, self.now)
+        self.scheduler.finish_load(order.target, done, self.now)
 
     def read_report(self) -> None:
         """Takes in the engine's report; between two of these its view is old."""
-        if self.custody is None or self.frozen:
+        if self.grants is None or self.frozen:
             return
         rep, now = self.world.engine.report(), self.now
-        self.scheduler.report(rep, now)
-        if self.custody.quarantine is not None:
-            self.custody.quarantine.report(rep, SERVICE, now)
+        self.scheduler.apply_report(rep, now)
+        if self.grants.quarantine is not None:
+            self.grants.quarantine.record_report(rep, SERVICE, now)
 
     # Requests -----------------------------------------------------------------------------------
 
-    def ask(self, target: AdapterVersion, lasting: float) -> None:
+    def start_request(self, target: AdapterVersion, lasting: float) -> None:
         name = f"{self.boot}.{next(self.world.numbers)}"
         now = self.now
-        ask = Ask(name, self.name, ENGINE, target, "caller", 0, LONGEST, 10, 0, 0, self.boot)
-        self.asks[name] = (ask, now + LONGEST)
-        self.world.lasting[name] = lasting
-        self.repeat(ask, now + LONGEST, now)
+        ask = GrantRequest(
+            name, self.name, ENGINE, target, "caller", 0, LONGEST, 10, 0, 0, self.boot
+        )
+        self.waiting_requests[name] = (ask, now + LONGEST)
+        self.world.durations[name] = lasting
+        self.repeat_request(ask, now + LONGEST, now)
 
-    def repeat(self, ask: Ask, deadline: float, now: float) -> None:
+    def repeat_request(self, ask: GrantRequest, deadline: float, now: float) -> None:
         held = self.fleet.owners.get(ENGINE)
         if now >= deadline:
-            self.asks.pop(ask.ask, None)
-            self.asking.settled(ask.ask)
+            self.waiting_requests.pop(ask.dispatch_id, None)
+            self.grant_requests.stop_waiting(ask.dispatch_id)
             return
         if held is None:
             return
         number = next(self.world.numbers)
-        self.asking.sending(ask.ask, number, now)
+        self.grant_requests.note_sent(ask.dispatch_id, number, now)
         again = msgspec.structs.replace(ask, round=number, remaining=deadline - now)
         self.send(held.owner, again)
 
-    def finished(self, ask: str) -> None:
-        if self.asking.release(ask) is not None:
-            self.release(ask)
+    def on_request_finished(self, ask: str) -> None:
+        if self.grant_requests.release(ask) is not None:
+            self.send_release(ask)
 
-    def release(self, ask: str) -> None:
+    def send_release(self, ask: str) -> None:
         owner = self.fleet.owners.get(ENGINE)
         if owner is not None:
             self.send(owner.owner, Release(ask, self.name, ENGINE))
 
-    def begin(self, ask: Ask, deadline: float) -> None:
+    def begin_request(self, ask: GrantRequest, deadline: float) -> None:
         """Sends a granted request to the engine."""
-        if self.world.mutation.recent_grants_only and not self.asking.usable(ask.ask, self.now):
-            self.finished(ask.ask)
+        if self.world.mutation.recent_grants_only and not self.grant_requests.is_usable(
+            ask.dispatch_id, self.now
+        ):
+            self.on_request_finished(ask.dispatch_id)
             return
         if ask.target not in self.world.engine.loaded:
-            self.finished(ask.ask)
+            self.on_request_finished(ask.dispatch_id)
             return
-        left = min(max(0.1, deadline - self.now), self.world.lasting[ask.ask])
-        self.world.engine.running[ask.ask] = (ask.target, self.world.clock + left)
+        left = min(max(0.1, deadline - self.now), self.world.durations[ask.dispatch_id])
+        self.world.engine.running[ask.dispatch_id] = (ask.target, self.world.clock + left)
 
     # Messages -----------------------------------------------------------------------------------
 
     def handle(self, message: Message) -> None:
         HANDLERS[type(message)](self, message)
 
-    def asked(self, ask: Ask) -> None:
-        custody, now = self.custody, self.now
-        if custody is None or custody.ended(ask.ask) or not custody.may_act(self.lease, now):
+    def on_grant_request(self, ask: GrantRequest) -> None:
+        custody, now = self.grants, self.now
+        if (
+            custody is None
+            or custody.has_ended(ask.dispatch_id)
+            or not custody.may_act(self.lease, now)
+        ):
             return
-        self.rounds[ask.ask] = ask
-        if self.scheduler.pinned(ask.ask):
-            self.tell(ask.ask, ask.asker, now)
+        self.last_rounds[ask.dispatch_id] = ask
+        if self.scheduler.is_pinned(ask.dispatch_id):
+            self.send_grant(ask.dispatch_id, ask.requester, now)
             return
-        self.scheduler.ask(ask, now)
+        self.scheduler.submit(ask, now)
 
-    def granted(self, granted: Granted) -> None:
-        waiting = self.asks.get(granted.ask)
+    def on_granted(self, granted: Granted) -> None:
+        waiting = self.waiting_requests.get(granted.dispatch_id)
         if waiting is None:
-            if self.asking.unwanted(granted):
-                self.release(granted.ask)
+            if self.grant_requests.is_unwanted(granted):
+                self.send_release(granted.dispatch_id)
             return
-        if not self.asking.accepts(granted, self.now):
+        if not self.grant_requests.may_use(granted, self.now):
             return
-        ask, deadline = self.asks.pop(granted.ask)
-        self.asking.hold(ask, deadline, self.now)
-        self.asking.settled(granted.ask)
-        self.hands.append(lambda process: process.begin(ask, deadline))
-
-    def released(self, release: Release) -> None:
-        if self.custody is not None:
-            self.custody.released(release.ask)
-            self.scheduler.release(release.ask, self.now)
-
-    def declare(self, request: DeclarePins) -> None:
-        held = self.asking.declare(request, self.now)
+        ask, deadline = self.waiting_requests.pop(granted.dispatch_id)
+        self.grant_requests.hold(ask, deadline, self.now)
+        self.grant_requests.stop_waiting(granted.dispatch_id)
+        self.pending_actions.append(lambda process: process.begin_request(ask, deadline))
+
+    def on_release(self, release: Release) -> None:
+        if self.grants is not None:
+            self.grants.record_release(release.dispatch_id)
+            self.scheduler.release(release.dispatch_id, self.now)
+
+    def on_declare_pins(self, request: DeclarePins) -> None:
+        held = self.grant_requests.declare_pins(request, self.now)
         if held is not None:
             self.send(request.owner, held)
 
-    def declared(self, held: HeldPins) -> None:
-        if self.custody is None:
+    def on_held_pins(self, held: HeldPins) -> None:
+        if self.grants is None:
             return
-        change = self.custody.declared(held)
+        change = self.grants.apply_declaration(held)
         for pin in change.adopt:
-            self.scheduler.adopt_pin(pin.ask, held.asker, pin.target, pin.remaining, self.now)
-        for ask in change.gone:
+            self.scheduler.adopt_pin(
+                pin.dispatch_id, held.requester, pin.target, pin.remaining, self.now
+            )
+        for ask in change.ended:
             self.scheduler.release(ask, self.now)
 
-    def supported(self, support: Support) -> None:
-        self.given.give(support.record.instance, self.now)
+    def on_support(self, support: Support) -> None:
+        self.promises_given.give(support.record.instance, self.now)
         self.send(support.record.instance, Promised(support.round, self.name))
 
-    def promised(self, promised: Promised) -> None:
-        self.held.promised(promised.peer, promised.round)
-        asked_at = self.held.asked_at(self.needed, self.now)
+    def on_promised(self, promised: Promised) -> None:
+        self.promises_held.record_promise(promised.peer, promised.round)
+        asked_at = self.promises_held.supported_since(self.needed_peers, self.now)
         if asked_at is not None:
-            self.lease.promised(asked_at, self.now)
+            self.lease.record_promises(asked_at, self.now)
 
 
 HANDLERS: Final[dict[type, Callable[[Process, Any], None]]] = {
-    Ask: Process.asked,
-    Granted: Process.granted,
-    Release: Process.released,
-    DeclarePins: Process.declare,
-    HeldPins: Process.declared,
-    Support: Process.supported,
-    Promised: Process.promised,
+    GrantRequest: Process.on_grant_request,
+    Granted: Process.on_granted,
+    Release: Process.on_release,
+    DeclarePins: Process.on_declare_pins,
+    HeldPins: Process.on_held_pins,
+    Support: Process.on_support,
+    Promised: Process.on_promised,
 }
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from wigeonarch_core.catalogue import REMEMBERED, Catalogue
+from wigeonarch_core.catalogue import MAX_REMEMBERED_RESULTS, Catalogue
 from wigeonarch_core.changelog import Change, Delete, Mutation, Put, Snapshot, Verdict
 from wigeonarch_core.entries import (
     Adapter,
@@ -64,7 +64,7 @@
 )
 def test_verdicts(mutation: Mutation, verdict: Verdict, version: int) -> None:
     catalogue = whole()
-    assert catalogue.judge(8, mutation).verdict is verdict
+    assert catalogue.evaluate(8, mutation).verdict is verdict
     result = catalogue.apply(8, Change("op-8", mutation))
     assert (result.verdict, result.version) == (verdict, version)
     assert catalogue.applied == 8
@@ -91,7 +91,7 @@
 
 def test_operations_are_remembered_for_a_bounded_time() -> None:
     catalogue = whole()
-    for number in range(8, REMEMBERED + 9):
+    for number in range(8, MAX_REMEMBERED_RESULTS + 9):
         catalogue.apply(number, Change(f"op-{number}", Put(SERVICE, 0)))
     assert catalogue.result_of("op-8") is None
     assert catalogue.result_of("op-9") is not None
--- a/tests/test_changefeed.py
+++ b/tests/test_changefeed.py
@@ -13,7 +13,7 @@
 from wigeonarch_core.replica import Replica
 from wigeonarch_entry.changefeed import ChangeFeed
 from wigeonarch_entry.metrics import Metrics
-from wigeonarch_entry.platform import Found, Missing, Page, Platform
+from wigeonarch_entry.platform import Found, Missing, Page, PlatformClient
 
 
 def change(number: int) -> Change:
@@ -61,12 +61,12 @@
 
     def bring() -> None:
         for number in range(known + 1, known + brought + 1):
-            feed.take(number, change(number))
+            feed.add(number, change(number))
 
     stub = StubPlatform(listed, bring)
-    feed = ChangeFeed(cast(Platform, stub), replica, 1.0, lambda: False, Metrics())
+    feed = ChangeFeed(cast(PlatformClient, stub), replica, 1.0, lambda: False, Metrics())
     for number in range(1, known + 1):
-        feed.take(number, change(number))
+        feed.add(number, change(number))
     await feed.catch_up()
-    assert replica.went_back is back
+    assert replica.rolled_back is back
     assert replica.catalogue.applied == max(known + brought, 0 if back else listed)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -4,112 +4,118 @@
 
 import pytest
 from msgspec.structs import replace
-from wigeonarch_core.acceptance import Lagging, Member, lagging
+from wigeonarch_core.acceptance import LaggingInstance, Member, find_lagging
 from wigeonarch_core.catalogue import Catalogue
 from wigeonarch_core.changelog import Change, Put
 from wigeonarch_core.entries import Adapter, Service, ServiceKind
 from wigeonarch_core.outcomes import Reason
-from wigeonarch_core.replica import Replica, Tail, judge_tail, mark_of
+from wigeonarch_core.replica import LogComparison, Replica, compare_log, position_of
 from wigeonarch_core.serving_right import (
     LeasePeriod,
-    Reach,
-    Situation,
+    PlatformReachability,
+    ServingState,
     ZonePeer,
     ZoneView,
-    refusal,
+    refusal_reason,
 )
 from wigeonarch_core.snapshots import (
     SnapshotHead,
-    announced,
-    decoded,
-    encoded,
-    finished,
+    announce,
+    decode,
+    encode,
+    finish,
+    first_kept_change,
     is_due,
-    kept_from,
-    newest,
+    newest_number,
     split,
 )
 
-LEASED = Situation(
-    informed=True,
+LEASED = ServingState(
+    has_configuration=True,
     leased=True,
     ever_leased=True,
     leased_since=10.0,
     lapsed_at=5.0,
-    caught_up=11.0,
-    tried=11.0,
+    caught_up_at=11.0,
+    last_attempt=11.0,
     applied=7,
     newest=7,
-    others=True,
-    heard=(),
+    others_known=True,
+    recent_peers=(),
 )
 ADRIFT = ZonePeer("b", 20.0, leased=False, reaches=False, applied=7)
 # The lease ended at 15, the platform was tried at 16, and a peer in the same place is heard.
-CUT = replace(LEASED, leased=False, lapsed_at=15.0, tried=16.0, heard=(ADRIFT,))
+CUT = replace(LEASED, leased=False, lapsed_at=15.0, last_attempt=16.0, recent_peers=(ADRIFT,))
 
 
 @pytest.mark.parametrize(
     ("at", "reason"),
     [
         (LEASED, None),
-        (replace(LEASED, informed=False), Reason.NO_CONFIGURATION),
+        (replace(LEASED, has_configuration=False), Reason.NO_CONFIGURATION),
         # A log read before the lease began may lack what was accepted in between.
-        (replace(LEASED, caught_up=9.9), Reason.NOT_CAUGHT_UP),
-        (replace(LEASED, caught_up=None), Reason.NOT_CAUGHT_UP),
+        (replace(LEASED, caught_up_at=9.9), Reason.NOT_CAUGHT_UP),
+        (replace(LEASED, caught_up_at=None), Reason.NOT_CAUGHT_UP),
         (CUT, None),
         # Paused: by the clock the lease has lapsed, and nothing was tried since.
-        (replace(CUT, tried=14.9), Reason.NOT_CAUGHT_UP),
-        (replace(CUT, tried=None), Reason.NOT_CAUGHT_UP),
+        (replace(CUT, last_attempt=14.9), Reason.NOT_CAUGHT_UP),
+        (replace(CUT, last_attempt=None), Reason.NOT_CAUGHT_UP),
         # A peer has more in force.
         (replace(CUT, newest=8), Reason.NOT_CAUGHT_UP),
         # Cut off alone.
-        (replace(CUT, heard=()), Reason.CUT_OFF),
+        (replace(CUT, recent_peers=()), Reason.CUT_OFF),
         # The only instance of its zone, which the list names.
-        (replace(CUT, heard=(), others=False), None),
+        (replace(CUT, recent_peers=(), others_known=False), None),
         # The same one, but never counted by anybody.
-        (replace(CUT, heard=(), others=False, ever_leased=False), Reason.CUT_OFF),
+        (replace(CUT, recent_peers=(), others_known=False, ever_leased=False), Reason.CUT_OFF),
         # New in a zone that is cut off.
-        (replace(CUT, ever_leased=False, caught_up=None), None),
-        (replace(CUT, heard=(ADRIFT, replace(ADRIFT, leased=True))), None),
+        (replace(CUT, ever_leased=False, caught_up_at=None), None),
+        (replace(CUT, recent_peers=(ADRIFT, replace(ADRIFT, leased=True))), None),
         (
-            replace(CUT, heard=(ADRIFT, replace(ADRIFT, name="c", leased=True, reaches=True))),
+            replace(
+                CUT, recent_peers=(ADRIFT, replace(ADRIFT, name="c", leased=True, reaches=True))
+            ),
             Reason.NOT_LEASED,
         ),
     ],
 )
-def test_right_to_serve(at: Situation, reason: Reason | None) -> None:
-    assert refusal(at) is reason
+def test_right_to_serve(at: ServingState, reason: Reason | None) -> None:
+    assert refusal_reason(at) is reason
 
 
 def test_lease_period_begins_anew_after_a_gap() -> None:
     period = LeasePeriod(6.0, 1.0, 0.0)
-    assert not period.holds(0.0)
-    period.renewed(1.0, 1.5)
-    assert (period.since, period.holds(5.9), period.holds(6.0)) == (1.5, True, False)
-    period.renewed(4.0, 4.5)
-    assert (period.since, period.lapsed(9.0)) == (1.5, 9.0)
+    assert not period.is_valid(0.0)
+    period.record_renewal(1.0, 1.5)
+    assert (period.since, period.is_valid(5.9), period.is_valid(6.0)) == (1.5, True, False)
+    period.record_renewal(4.0, 4.5)
+    assert (period.since, period.last_ended_at(9.0)) == (1.5, 9.0)
     # Sent in time, but confirmed only after the end.
-    period.renewed(8.9, 9.1)
-    assert (period.since, period.lapsed(9.2)) == (9.1, 9.0)
+    period.record_renewal(8.9, 9.1)
+    assert (period.since, period.last_ended_at(9.2)) == (9.1, 9.0)
 
 
 def test_reach_settles_without_a_gap() -> None:
-    reach = Reach(bound=2.0, settle=3.5)
-    assert not reach.reaches(0.0)
+    reach = PlatformReachability(bound=2.0, settle=3.5)
+    assert not reach.is_reachable(0.0)
     for now in (0.0, 1.0, 2.0, 3.0, 4.0):
-        reach.answered(now)
-    assert (reach.settled(3.4), reach.settled(4.0), reach.settled(6.1)) == (False, True, False)
-    reach.answered(6.1)
-    assert (reach.reaches(6.1), reach.settled(6.2)) == (True, False)
+        reach.record_answer(now)
+    assert (reach.is_settled(3.4), reach.is_settled(4.0), reach.is_settled(6.1)) == (
+        False,
+        True,
+        False,
+    )
+    reach.record_answer(6.1)
+    assert (reach.is_reachable(6.1), reach.is_settled(6.2)) == (True, False)
 
 
 def test_zone_view_remembers_the_newest_change() -> None:
     view = ZoneView(2.5)
-    view.heard(replace(ADRIFT, heard=1.0, applied=9))
-    view.heard(replace(ADRIFT, heard=2.0, applied=8))
-    assert (view.newest, view.recent(4.0), view.recent(5.0)) == (
+    view.record(replace(ADRIFT, as_of=1.0, applied=9))
+    view.record(replace(ADRIFT, as_of=2.0, applied=8))
+    assert (view.newest, view.recent_peers(4.0), view.recent_peers(5.0)) == (
         9,
-        (replace(ADRIFT, heard=2.0, applied=8),),
+        (replace(ADRIFT, as_of=2.0, applied=8),),
         (),
     )
 
@@ -139,8 +145,8 @@
     ],
 )
 def test_acceptance(members: tuple[Member, ...], missing: tuple[str, ...]) -> None:
-    found = lagging(7, members)
-    assert found == tuple(Lagging("zone-b", name) for name in missing)
+    found = find_lagging(7, members)
+    assert found == tuple(LaggingInstance("zone-b", name) for name in missing)
 
 
 def change(number: int) -> Change:
@@ -157,48 +163,48 @@
 @pytest.mark.parametrize(
     ("applied", "first", "snapshot", "tail"),
     [
-        (0, None, 0, Tail.SAME),
-        (0, (1, change(1)), 0, Tail.SAME),
-        (0, (1, change(1)), 5, Tail.TRIMMED),
-        (0, (4, change(4)), 5, Tail.TRIMMED),
-        (0, (4, change(4)), 0, Tail.WENT_BACK),
-        (3, (3, change(3)), 0, Tail.SAME),
-        (3, (4, change(4)), 5, Tail.TRIMMED),
-        (3, None, 0, Tail.WENT_BACK),
-        (3, None, 2, Tail.WENT_BACK),
+        (0, None, 0, LogComparison.SAME),
+        (0, (1, change(1)), 0, LogComparison.SAME),
+        (0, (1, change(1)), 5, LogComparison.TRIMMED),
+        (0, (4, change(4)), 5, LogComparison.TRIMMED),
+        (0, (4, change(4)), 0, LogComparison.ROLLED_BACK),
+        (3, (3, change(3)), 0, LogComparison.SAME),
+        (3, (4, change(4)), 5, LogComparison.TRIMMED),
+        (3, None, 0, LogComparison.ROLLED_BACK),
+        (3, None, 2, LogComparison.ROLLED_BACK),
         # Another history: the number was given away again after the store went back.
-        (3, (3, change(9)), 5, Tail.WENT_BACK),
+        (3, (3, change(9)), 5, LogComparison.ROLLED_BACK),
     ],
 )
 def test_tail_of_the_log(
-    applied: int, first: tuple[int, Change] | None, snapshot: int, tail: Tail
+    applied: int, first: tuple[int, Change] | None, snapshot: int, tail: LogComparison
 ) -> None:
-    assert judge_tail(mark_of(catalogue(applied)), first, snapshot) is tail
+    assert compare_log(position_of(catalogue(applied)), first, snapshot) is tail
 
 
 @pytest.mark.parametrize("order", [(1, 2, 3, 4), (4, 3, 2, 1), (2, 2, 1, 1, 4, 3, 2)])
 def test_elements_are_applied_in_order(order: tuple[int, ...]) -> None:
     replica = Replica()
-    numbers = [result.number for number in order for result in replica.take(number, change(number))]
+    numbers = [result.number for number in order for result in replica.add(number, change(number))]
     assert numbers == [1, 2, 3, 4]
     assert not replica.has_gap
 
 
 def test_a_copy_stays_as_it_is_when_the_log_went_back() -> None:
     replica = Replica()
-    replica.take(1, change(1))
-    assert replica.judged(Tail.WENT_BACK)
-    assert not replica.judged(Tail.WENT_BACK)
-    assert replica.take(2, change(9)) == []
+    replica.add(1, change(1))
+    assert replica.record_comparison(LogComparison.ROLLED_BACK)
+    assert not replica.record_comparison(LogComparison.ROLLED_BACK)
+    assert replica.add(2, change(9)) == []
     assert not replica.restore(catalogue(5).snapshot())
-    assert replica.judged(Tail.SAME)
-    assert [result.number for result in replica.take(2, change(2))] == [2]
+    assert replica.record_comparison(LogComparison.SAME)
+    assert [result.number for result in replica.add(2, change(2))] == [2]
 
 
 def test_a_snapshot_meets_early_elements() -> None:
     replica = Replica()
-    replica.take(6, change(6))
-    replica.take(3, change(3))
+    replica.add(6, change(6))
+    replica.add(3, change(3))
     assert replica.restore(catalogue(5).snapshot())
     assert (replica.catalogue.applied, replica.has_gap) == (6, False)
 
@@ -207,17 +213,17 @@
     full = catalogue(1)
     for number in range(2, 3000):
         full.apply(number, Change(f"op-{number}", Put(Adapter("s1", f"a{number}"), 0)))
-    data = b"".join(encoded(full.snapshot()))
-    assert decoded(b"".join(split(data))) == full.snapshot()
-    assert decoded(data[:-10]) is None
-    assert decoded(b"") is None
+    data = b"".join(encode(full.snapshot()))
+    assert decode(b"".join(split(data))) == full.snapshot()
+    assert decode(data[:-10]) is None
+    assert decode(b"") is None
 
 
 def test_head_of_the_snapshots() -> None:
     head: SnapshotHead | None = None
-    assert (newest(head), is_due(head, 9, 10), is_due(head, 10, 10)) == (0, False, True)
+    assert (newest_number(head), is_due(head, 9, 10), is_due(head, 10, 10)) == (0, False, True)
     for number in (10, 20, 30):
-        head = finished(announced(head, number, f"w{number}"), 2)
+        head = finish(announce(head, number, f"w{number}"), 2)
     assert head is not None
-    assert (newest(head), kept_from(head), head.pending) == (30, 20, None)
+    assert (newest_number(head), first_kept_change(head), head.pending) == (30, 20, None)
     assert (is_due(head, 39, 10), is_due(head, 40, 10)) == (False, True)
--- a/tests/test_rests.py
+++ b/tests/test_cooldowns.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from wigeonarch_core.rests import Rests
+from wigeonarch_core.cooldowns import Cooldowns
 
 
 @pytest.mark.parametrize(
@@ -23,23 +23,23 @@
 def test_the_longest_time_asked_for_holds(
     asked: list[tuple[float, float]], now: float, left: float
 ) -> None:
-    rests = Rests()
+    rests = Cooldowns()
     for at, seconds in asked:
-        rests.asked("e", seconds, at)
-    assert rests.left("e", now) == pytest.approx(left)
-    assert rests.any(now) is (left > 0.0)
-    assert rests.left("other", now) == 0.0
+        rests.start("e", seconds, at)
+    assert rests.remaining("e", now) == pytest.approx(left)
+    assert rests.any_active(now) is (left > 0.0)
+    assert rests.remaining("other", now) == 0.0
 
 
 def test_only_the_first_of_several_demands_is_news() -> None:
-    rests = Rests()
-    assert rests.asked("e", 1.0, 0.0)
-    assert not rests.asked("e", 1.0, 0.5)
-    assert rests.asked("e", 1.0, 2.0)
+    rests = Cooldowns()
+    assert rests.start("e", 1.0, 0.0)
+    assert not rests.start("e", 1.0, 0.5)
+    assert rests.start("e", 1.0, 2.0)
 
 
 def test_an_endpoint_that_starts_again_wants_work() -> None:
-    rests = Rests()
-    rests.asked("e", 3.0, 0.0)
+    rests = Cooldowns()
+    rests.start("e", 3.0, 0.0)
     rests.forget("e")
-    assert rests.left("e", 0.0) == 0.0
+    assert rests.remaining("e", 0.0) == 0.0
--- a/tests/test_ctl_teams.py
+++ b/tests/test_ctl_teams.py
@@ -14,10 +14,10 @@
 
 def page(units: float, refused: float, rate: float = 100.0) -> str:
     metrics = Metrics()
-    metrics.quotas([Team("deli", None, Quota(Unit.TOKENS, rate, 50.0)), Team("free")])
-    metrics.admitted("deli", units)
+    metrics.set_quotas([Team("deli", None, Quota(Unit.TOKENS, rate, 50.0)), Team("free")])
+    metrics.count_admitted("deli", units)
     if refused:
-        metrics.refused_by_quota("deli", refused)
+        metrics.count_over_quota("deli", refused)
     return metrics.text().decode()
 
 
@@ -44,7 +44,9 @@
         await found.store.put("config", "main", configuration(2, teams=[limited]))
 
         async def served() -> bool:
-            answer = await found.ask("/ask/x", Authorization="Bearer key", X_Token_Counts="10,5")
+            answer = await found.send_request(
+                "/ask/x", Authorization="Bearer key", X_Token_Counts="10,5"
+            )
             return answer.status == 200
 
         async def shown() -> bool:
--- a/tests/test_doors_cancel.py
+++ b/tests/test_doors_cancel.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 import pytest
-from wigeonarch_entry.streamlines import Lines
+from wigeonarch_entry.streamlines import StreamLines
 
 ENDLESS = 1_000
 
@@ -26,7 +26,7 @@
 
 
 async def _read(content: Content) -> None:
-    lines = Lines(Mock(spec=aiohttp.StreamReader, readline=content.readline))
+    lines = StreamLines(Mock(spec=aiohttp.StreamReader, readline=content.readline))
     for _ in range(ENDLESS):
         assert await lines.next(60.0) == b"line\n"
 
--- a/tests/test_doors_changes.py
+++ b/tests/test_doors_changes.py
@@ -10,7 +10,7 @@
 import pytest
 import pytest_asyncio
 from wigeonarch_core.records import CHANGES
-from wigeonarch_entry.platform import Conflict, Platform, Unavailable
+from wigeonarch_entry.platform import Conflict, PlatformClient, Unavailable
 from wigeonarch_fakes.demo_fleet import Plan, demo_fleet
 from wigeonarch_fakes.demo_steps import Tour, make_tour
 from wigeonarch_schema import wigeonarch_pb2 as pb
@@ -43,16 +43,16 @@
         self._patch("get", reads, monkeypatch)
 
     def _patch(self, method: str, answers: list[Any], monkeypatch: pytest.MonkeyPatch) -> None:
-        original = getattr(Platform, method)
+        original = getattr(PlatformClient, method)
         left = list(answers)
 
-        async def answer(platform: Platform, kind: str, *args: Any) -> Any:
+        async def answer(platform: PlatformClient, kind: str, *args: Any) -> Any:
             scripted = left.pop(0) if kind == CHANGES and left else THROUGH
             if scripted is THROUGH:
                 return await original(platform, kind, *args)
             return scripted
 
-        monkeypatch.setattr(Platform, method, answer)
+        monkeypatch.setattr(PlatformClient, method, answer)
 
 
 CASES: dict[str, tuple[list[Any], list[Any], pb.Status.ValueType]] = {
@@ -98,7 +98,7 @@
         return REFUSED
 
     with monkeypatch.context() as patched:
-        patched.setattr(Platform, "list", no_page)
-        patched.setattr(Platform, "get", no_page)
+        patched.setattr(PlatformClient, "list", no_page)
+        patched.setattr(PlatformClient, "get", no_page)
         reply = await tour.catalogue.GetChange(pb.GetChangeRequest(operation_id="elsewhere"))
     assert (reply.status, reply.change) == (pb.STATUS_PENDING, 0)
--- a/tests/test_doors_http.py
+++ b/tests/test_doors_http.py
@@ -15,7 +15,7 @@
 import pytest_asyncio
 from wigeonarch_core.options import Limits, Timing
 from wigeonarch_core.outcomes import Reason
-from wigeonarch_entry import httpdoor
+from wigeonarch_entry import httpserver as httpdoor
 from wigeonarch_entry.dispatch import Dispatcher
 from wigeonarch_fakes.demo_fleet import DemoFleet, Plan, demo_fleet, wait_for
 from wigeonarch_fakes.demo_steps import ADAPTER, OTHER, configure, make_tour, see_owners
--- a/tests/test_doors_statuses.py
+++ b/tests/test_doors_statuses.py
@@ -6,7 +6,7 @@
 from wigeonarch_core.outcomes import Answered, Failed, NotRun, Outcome, Reason, Unknown
 from wigeonarch_core.refs import is_name, is_operation
 from wigeonarch_entry.httperrors import error_doc, error_response
-from wigeonarch_entry.statuses import NOT_RUN_STATUS, OUTCOME_NAMES, RETRIABLE, status_of
+from wigeonarch_entry.statuses import NOT_RUN_STATUS, OUTCOME_NAMES, RETRY_AFTER_STATUSES, status_of
 from wigeonarch_entry.texts import MAY_HAVE_RUN, NOT_RUN, REASON_TEXTS
 
 NOT_RUN_ONLY = {400, 404, 409, 413, 422, 429, 503}
@@ -22,7 +22,7 @@
 def test_not_run(reason: Reason) -> None:
     resp = error_response(NotRun(reason), {})
     assert resp.status in NOT_RUN_ONLY
-    assert ("Retry-After" in resp.headers) == (resp.status in RETRIABLE)
+    assert ("Retry-After" in resp.headers) == (resp.status in RETRY_AFTER_STATUSES)
     assert error_doc(NotRun(reason))["error"]["message"].endswith(NOT_RUN)
 
 
--- a/tests/test_endpoint_notices.py
+++ b/tests/test_endpoint_notices.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from wigeonarch_gateway.ports import AnswerHead, Notice
+from wigeonarch_gateway.ports import Notice, ResponseHead
 from wigeonarch_platform.dialect import read_notice
 
 
@@ -13,10 +13,10 @@
         (200, {}, Notice()),
         (200, {b"server-leaving": b"1"}, Notice(leaving=True)),
         (500, {b"server-leaving": b" 1 "}, Notice(leaving=True)),
-        (503, {b"server-leaving": b"1", b"retry-after": b"2"}, Notice(leaving=True, rest=2.0)),
+        (503, {b"server-leaving": b"1", b"retry-after": b"2"}, Notice(leaving=True, cooldown=2.0)),
         (200, {b"server-leaving": b"0"}, Notice()),
         (200, {b"server-leaving": b""}, Notice()),
-        (503, {b"retry-after": b"0.5"}, Notice(rest=0.5)),
+        (503, {b"retry-after": b"0.5"}, Notice(cooldown=0.5)),
         (503, {b"retry-after": b"0"}, Notice()),
         (503, {b"retry-after": b"-1"}, Notice()),
         (503, {b"retry-after": b"nan"}, Notice()),
@@ -32,4 +32,4 @@
 def test_what_an_endpoint_says_of_itself_is_read(
     status: int, headers: dict[bytes, bytes], notice: Notice | None
 ) -> None:
-    assert read_notice(AnswerHead(status, tuple(headers.items()))) == notice
+    assert read_notice(ResponseHead(status, tuple(headers.items()))) == notice
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -5,8 +5,12 @@
 import pytest
 from engine_states import IDLE
 from msgspec.structs import replace
-from wigeonarch_core.engine_choice import EngineState, choose, choose_again
-from wigeonarch_core.service_choice import ServiceState, choose_plain
+from wigeonarch_core.engine_choice import (
+    EngineState,
+    choose_engine,
+    choose_engine_after_load_request,
+)
+from wigeonarch_core.service_choice import ServiceState, choose_endpoint
 
 HOLDS = replace(IDLE, endpoint="holds", holds=True)
 COLD = replace(IDLE, endpoint="cold")
@@ -39,7 +43,7 @@
     ],
 )
 def test_choice(states: list[EngineState], endpoint: str | None, load: bool) -> None:
-    choice = choose(states, 1_000)
+    choice = choose_engine(states, 1_000)
     assert (choice.endpoint if choice else None) == endpoint
     assert (choice.load if choice else False) is load
 
@@ -48,7 +52,7 @@
     twins = [replace(HOLDS, endpoint=name) for name in "abc"]
     busy = replace(HOLDS, endpoint="busy", waiting_tokens=19_000.0)
     draws = iter([0.03, 0.01, 0.02, 0.0])
-    choice = choose([*twins, busy], 100, lambda: next(draws))
+    choice = choose_engine([*twins, busy], 100, lambda: next(draws))
     assert choice is not None
     assert choice.endpoint == "b"
 
@@ -64,7 +68,7 @@
 )
 def test_chance_buys_no_load_and_no_way_between_zones(other: EngineState) -> None:
     draws = iter([5.0, 0.0])
-    choice = choose([HOLDS, other], 100, lambda: next(draws))
+    choice = choose_engine([HOLDS, other], 100, lambda: next(draws))
     assert choice is not None
     assert choice.endpoint == "holds"
 
@@ -88,7 +92,7 @@
 def test_a_request_stays_with_the_engine_it_asked_while_that_can_load(
     states: list[EngineState], asked: str, patient: bool, endpoint: str | None
 ) -> None:
-    choice = choose_again(states, 1_000, asked, patient)
+    choice = choose_engine_after_load_request(states, 1_000, asked, patient)
     assert (choice.endpoint if choice else None) == endpoint
 
 
@@ -106,4 +110,4 @@
     ],
 )
 def test_choice_of_a_plain_endpoint(states: list[ServiceState], expected: str | None) -> None:
-    assert choose_plain(states) == expected
+    assert choose_endpoint(states) == expected
--- a/tests/test_feeding.py
+++ b/tests/test_feeding.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wigeonarch_gateway.feeding import KEPT_MOST, Feed
+from wigeonarch_gateway.feeding import MAX_RETAINED_CHANGES, ChangeFeed
 from wigeonarch_gateway.ports import Change, StoredObject
 
 
@@ -19,9 +19,11 @@
     return Change(StoredObject(name, revision, None), True)
 
 
-def feed(as_of: int = 10, **known: int) -> Feed:
-    found = Feed()
-    found.listed([StoredObject(name, revision, None) for name, revision in known.items()], as_of)
+def feed(as_of: int = 10, **known: int) -> ChangeFeed:
+    found = ChangeFeed()
+    found.apply_list(
+        [StoredObject(name, revision, None) for name, revision in known.items()], as_of
+    )
     return found
 
 
@@ -42,13 +44,13 @@
 def test_what_is_news(
     known: dict[str, int], changes: list[Change], since: int, as_of: int, news: list[str] | None
 ) -> None:
-    fresh = feed(**known).take(changes, since, as_of)
-    assert (None if fresh is None else [change.found.name for change in fresh]) == news
+    fresh = feed(**known).apply_changes(changes, since, as_of)
+    assert (None if fresh is None else [change.stored.name for change in fresh]) == news
 
 
 def test_a_list_that_is_older_than_the_state_does_not_count() -> None:
     found = feed(as_of=10)
-    assert found.listed([], 9) is None
+    assert found.apply_list([], 9) is None
     assert found.as_of == 10
 
 
@@ -70,64 +72,64 @@
     known: dict[str, int], found: list[StoredObject], changes: list[Change]
 ) -> None:
     teller = feed(**known)
-    assert teller.listed(found, 14) == changes
-    teller.keep(changes)
+    assert teller.apply_list(found, 14) == changes
+    teller.retain(changes)
     # A peer that has the state before it needs no list of its own.
     peer = feed(**known)
-    told = teller.after(10)
+    told = teller.changes_after(10)
     assert told is not None
-    assert peer.take(told, 10, 14) == changes
-    assert peer.listed(found, 14) == []
+    assert peer.apply_changes(told, 10, 14) == changes
+    assert peer.apply_list(found, 14) == []
 
 
 def test_the_first_list_differs_from_nothing() -> None:
-    assert Feed().listed(listed(a=9), 10) == []
+    assert ChangeFeed().apply_list(listed(a=9), 10) == []
 
 
 def test_who_lacks_more_than_is_kept_must_ask_the_store() -> None:
     found = feed(as_of=10)
-    for revision in range(11, 12 + KEPT_MOST):
+    for revision in range(11, 12 + MAX_RETAINED_CHANGES):
         change = put("a", revision)
-        assert found.take([change], revision - 1, revision) == [change]
-        found.keep([change])
-    assert found.after(10) is None
-    after = found.after(11)
+        assert found.apply_changes([change], revision - 1, revision) == [change]
+        found.retain([change])
+    assert found.changes_after(10) is None
+    after = found.changes_after(11)
     assert after is not None
-    assert len(after) == KEPT_MOST
+    assert len(after) == MAX_RETAINED_CHANGES
 
 
 def test_a_peer_that_has_the_last_change_kept_needs_no_earlier_one() -> None:
     teller, peer = feed(as_of=10), feed(as_of=10)
     for revision, needed in ((12, True), (14, False), (16, True)):
-        up_to = teller.kept_up_to()
-        fresh = teller.take([put(f"o{revision}", revision)], revision - 2, revision)
+        up_to = teller.retained_up_to()
+        fresh = teller.apply_changes([put(f"o{revision}", revision)], revision - 2, revision)
         assert fresh
         if needed:
-            teller.keep(fresh)
-            assert peer.take(fresh, up_to, revision) == fresh
+            teller.retain(fresh)
+            assert peer.apply_changes(fresh, up_to, revision) == fresh
 
 
 def test_nothing_can_be_told_before_the_first_list() -> None:
-    assert Feed().after(0) is None
-    assert Feed().take([put("a", 2)], 0, 2) is None
+    assert ChangeFeed().changes_after(0) is None
+    assert ChangeFeed().apply_changes([put("a", 2)], 0, 2) is None
 
 
 @dataclass
 class Mirror:
     """A process with a state of its own, and what is on its way to it."""
 
-    feed: Feed = field(default_factory=Feed)
+    feed: ChangeFeed = field(default_factory=ChangeFeed)
     objects: dict[str, int] = field(default_factory=dict)
     coming: list[tuple[list[Change], int, int]] = field(default_factory=list)
 
     def take(self, changes: list[Change], since: int, as_of: int) -> None:
-        fresh = self.feed.take(changes, since, as_of) or []
-        self.feed.keep(fresh)
+        fresh = self.feed.apply_changes(changes, since, as_of) or []
+        self.feed.retain(fresh)
         for change in fresh:
             if change.deleted:
-                self.objects.pop(change.found.name)
+                self.objects.pop(change.stored.name)
             else:
-                self.objects[change.found.name] = change.found.revision
+                self.objects[change.stored.name] = change.stored.revision
 
 
 class Stored:
@@ -157,9 +159,9 @@
         found: dict[str, int] = {}
         for at, change in self.log[:as_of]:
             if change.deleted:
-                found.pop(change.found.name)
+                found.pop(change.stored.name)
             else:
-                found[change.found.name] = at
+                found[change.stored.name] = at
         return found
 
     def since(self, revision: int) -> list[Change]:
@@ -184,7 +186,7 @@
     store = Stored()
     mirrors = [Mirror(), Mirror(), Mirror()]
     for mirror in mirrors:
-        mirror.feed.listed([], 0)
+        mirror.feed.apply_list([], 0)
     for what, number, pick in steps:
         mirror, other = mirrors[number], mirrors[(number + 1 + pick % 2) % 3]
         since = mirror.feed.as_of
@@ -198,7 +200,7 @@
             # A peer asks with its state, or is told of news after the teller's last one.
             asked = other.feed.as_of if what == "answer" else max(since - 1 - pick % 3, 0)
             assert asked is not None
-            changes = mirror.feed.after(asked)
+            changes = mirror.feed.changes_after(asked)
             if changes is not None:
                 other.coming.append((changes, asked, max(asked, since)))
         elif mirror.coming:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -15,12 +15,12 @@
 from wigeonarch_core.engine_places import AdapterKey
 from wigeonarch_gateway.catalogue import Catalogue
 from wigeonarch_gateway.directory import Directory
-from wigeonarch_gateway.endpoints import Endpoints
+from wigeonarch_gateway.endpoints import EndpointRegistry
 from wigeonarch_gateway.engineviews import EngineViews
-from wigeonarch_gateway.intake import Intake
+from wigeonarch_gateway.object_contents import read_lease, read_owner
 from wigeonarch_gateway.options import StoreOptions
-from wigeonarch_gateway.ownobjects import read_holder, read_lease
-from wigeonarch_gateway.ports import Changes, EndpointState, Kinds, Listing, StoredObject
+from wigeonarch_gateway.ports import Changes, EndpointState, Listing, ObjectKind, StoredObject
+from wigeonarch_gateway.store_updates import StoreUpdateHandlers
 from wigeonarch_platform import documents, records
 from wigeonarch_platform.store import Store
 
@@ -92,17 +92,17 @@
     """What an instance knows by the store's answers."""
 
     store: Store
-    endpoints: Endpoints
-    intake: Intake
+    endpoints: EndpointRegistry
+    intake: StoreUpdateHandlers
 
     async def read(self) -> int:
-        found = await self.store.list(Kinds.ENDPOINTS)
+        found = await self.store.list(ObjectKind.ENDPOINTS)
         assert isinstance(found, Listing)
         self.intake._endpoints_listed(found.objects)
         return found.as_of
 
     async def watch(self, since: int) -> None:
-        found = await self.store.watch(Kinds.ENDPOINTS, since, 0.2)
+        found = await self.store.watch(ObjectKind.ENDPOINTS, since, 0.2)
         assert isinstance(found, Changes)
         for change in found.changes:
             self.intake._endpoint_changed(change)
@@ -117,9 +117,11 @@
     await standin.start()
     store = Store(standin.address)
     # What is missing may be one that lapsed all the while; what can't be read is not missing.
-    endpoints = Endpoints(lambda zone: 1e12, lambda endpoint: None, lambda record: None)
+    endpoints = EndpointRegistry(lambda zone: 1e12, lambda endpoint: None, lambda record: None)
     catalogue = Catalogue(records.decode_configuration, records.decode_version)
-    intake = Intake(StoreOptions(), catalogue, endpoints, EngineViews(), records.decode_endpoint)
+    intake = StoreUpdateHandlers(
+        StoreOptions(), catalogue, endpoints, EngineViews(), records.decode_endpoint
+    )
     try:
         yield standin, Seen(store, endpoints, intake)
     finally:
@@ -178,7 +180,7 @@
 ) -> None:
     logged: list[str] = []
     monkeypatch.setattr(
-        "wigeonarch_gateway.intake.log", lambda event, *args, **more: logged.append(event)
+        "wigeonarch_gateway.store_updates.log", lambda event, *args, **more: logged.append(event)
     )
     async with instance() as (standin, seen):
         await standin.put("servers", "i-foreign", 7)
@@ -213,8 +215,8 @@
     events = [*before, {"object": good, "deleted": False}, *after]
     body = json.dumps({"events": events, "as_of": 9}).encode()
     told = documents.read_document(body, documents.WireEvents)
-    changes = {change.found.name: change for change in documents.read_events(told.events, 0)}
-    record = records.decode_endpoint(changes["i-good-one"].found)
+    changes = {change.stored.name: change for change in documents.read_events(told.events, 0)}
+    record = records.decode_endpoint(changes["i-good-one"].stored)
     assert record.state is EndpointState.READY
 
 
@@ -231,7 +233,7 @@
 )
 def test_a_foreign_version_changes_nothing(name: str, spec: Any, readable: bool) -> None:
     catalogue = Catalogue(records.decode_configuration, records.decode_version)
-    catalogue.versions_listed((StoredObject(name, 1, spec),))
+    catalogue.take_version_list((StoredObject(name, 1, spec),))
     assert (catalogue.version("m", "a1") or catalogue.version("m", "")) == (2 if readable else 0)
 
 
@@ -245,14 +247,14 @@
 @pytest.mark.parametrize("spec", [None, 5, [], {}, {"address": 5}, {"holder": None}])
 def test_own_objects_that_another_writer_changed_name_nobody(spec: Any) -> None:
     found = StoredObject("i-1", 1, spec)
-    assert read_holder(found) is None
+    assert read_owner(found) is None
     assert read_lease(found) is None
-    assert Directory().listed([found], 0.0) == []
+    assert Directory().take_leases([found], 0.0) == []
 
 
 def test_a_lease_without_an_address_to_use_is_no_instance() -> None:
     spec = {"incarnation": "x", "address": "nowhere", "zone": "a"}
-    assert Directory().listed([StoredObject("e", 1, spec)], 0.0) == []
+    assert Directory().take_leases([StoredObject("e", 1, spec)], 0.0) == []
 
 
 def test_what_adapters_an_entry_tells_of() -> None:
--- a/tests/test_gateway_events.py
+++ b/tests/test_gateway_events.py
@@ -34,11 +34,11 @@
     marks = [0, *sorted(cuts), len(STREAM)]
     passed = b"".join(splitter.feed(STREAM[a:b]) for a, b in pairwise(marks) if a < b)
     assert passed == STREAM
-    assert (splitter.last_id, splitter.count, splitter.rest()) == ("3", 3, b"")
+    assert (splitter.last_id, splitter.count, splitter.take_partial()) == ("3", 3, b"")
 
 
 def test_what_broke_off_is_not_joined_with_what_follows() -> None:
     splitter = EventSplitter()
     splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
-    splitter.drop_rest()
+    splitter.discard_partial()
     assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -34,7 +34,7 @@
 async def ask_all(found: World, path: str, statuses: list[int]) -> None:
     """Sends a request to each instance."""
     model = "m" if path.startswith("/write") else ""
-    answers = [found.ask(path, node=n, X_Model=model) for n in range(len(found.nodes))]
+    answers = [found.send_request(path, node=n, X_Model=model) for n in range(len(found.nodes))]
     statuses.extend(answer.status for answer in await asyncio.gather(*answers))
 
 
@@ -46,7 +46,7 @@
         leaving = await PLACES[path](found)
         statuses: list[int] = []
         for node in range(3):
-            await found.served(path, node=node)
+            await found.wait_until_served(path, node=node)
         leaving.leaving = True
         ran = len(leaving.ran)
 
@@ -81,7 +81,7 @@
     leaving.leaving = True
 
     async def heard() -> bool:
-        await found.ask("/ask/x", node=node)
+        await found.send_request("/ask/x", node=node)
         record = found.nodes[node]._endpoints.get(leaving.name)
         return record is not None and record.state is EndpointState.LEAVING
 
@@ -139,20 +139,20 @@
 async def test_what_an_answer_of_another_request_says_counts_for_nothing(trouble: Trouble) -> None:
     async with world(nodes=1) as found:
         desk = found.replicas[1]
-        await found.served("/ask/x")
+        await found.wait_until_served("/ask/x")
         desk.trouble = trouble
         desk.foreign_leaving = True
         for _ in range(5):
-            await found.ask("/ask/x")
+            await found.send_request("/ask/x")
         assert [record.endpoint for record in found.nodes[0]._endpoints.ready("desk")] == ["i-desk"]
 
 
 async def test_another_endpoint_at_the_address_tells_nothing_of_the_one_that_was_meant() -> None:
     async with world(nodes=1) as found:
         desk = found.replicas[1]
-        await found.served("/ask/x")
+        await found.wait_until_served("/ask/x")
         desk.name, desk.leaving = "i-other", True
-        assert (await found.ask("/ask/x")).status == 503
+        assert (await found.send_request("/ask/x")).status == 503
         record = found.nodes[0]._endpoints.get("i-desk")
         assert record is not None
         assert record.state is EndpointState.READY
--- a/tests/test_gateway_members.py
+++ b/tests/test_gateway_members.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 import pytest
-from gateway_world import contact
+from gateway_world import new_store_contact
 from ports import free_port
 from wigeonarch_gateway import members as module
-from wigeonarch_gateway.directory import GONE, LIST_EVERY
-from wigeonarch_gateway.duties import SETTLED, ZONE_EMPTY
-from wigeonarch_gateway.links import Links
+from wigeonarch_gateway.directory import GONE_AFTER, LIST_INTERVAL
 from wigeonarch_gateway.members import Members
-from wigeonarch_gateway.messages import Beat
+from wigeonarch_gateway.messages import Heartbeat
 from wigeonarch_gateway.metrics import Metrics
 from wigeonarch_gateway.options import Options
+from wigeonarch_gateway.peer_socket import PeerSocket
 from wigeonarch_gateway.ports import StoredObject
-from wigeonarch_gateway.traffic import Traffic
+from wigeonarch_gateway.roles import PREFERRED_AFTER, ZONE_EMPTY_AFTER
+from wigeonarch_gateway.traffic import InFlightTracker
 
 
 class Clock:
@@ -31,7 +31,7 @@
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     found = Clock()
     monkeypatch.setattr(module, "monotonic", found)
-    monkeypatch.setattr("wigeonarch_gateway.duties.monotonic", found)
+    monkeypatch.setattr("wigeonarch_gateway.roles.monotonic", found)
     monkeypatch.setattr("wigeonarch_gateway.discovery.monotonic", found)
     return found
 
@@ -40,24 +40,24 @@
 def members(clock: Clock) -> Members:
     port = free_port("127.0.0.1")
     opts = Options("me", "a", "127.0.0.1", "127.0.0.1:1", "127.0.0.1:2", port, 3)
-    links = Links(f"127.0.0.1:{port}", lambda message: None)
+    links = PeerSocket(f"127.0.0.1:{port}", lambda message: None)
     return Members(
         opts,
         "boot",
         links,
-        Traffic(),
+        InFlightTracker(),
         lambda: (1, 1000),
         lambda name, revision, left: None,
         lambda endpoint: "",
         lambda name: None,
         lambda name: None,
         Metrics(),
-        contact(),
+        new_store_contact(),
     )
 
 
-def beat(name: str, zone: str = "a", left: int = 3000, leaving: bool = False) -> Beat:
-    return Beat(name, "boot", "127.0.0.1:9", zone, leaving, 5, left, [], [])
+def beat(name: str, zone: str = "a", left: int = 3000, leaving: bool = False) -> Heartbeat:
+    return Heartbeat(name, "boot", "127.0.0.1:9", zone, leaving, 5, left, [], [])
 
 
 @pytest.mark.parametrize(
@@ -75,12 +75,12 @@
     since = {}
     for number, (name, where) in enumerate(heard.items()):
         said = beat(name, zone=where)
-        said.contact_ms, said.answered_ms = 5000 + number, 700
-        since[name] = clock.now - said.contact_ms / 1000
-        members.beat(said)
-    members.beat(beat("started", zone=zone))  # It has had no answer yet.
+        said.store_contact_ms, said.store_answered_ms = 5000 + number, 700
+        since[name] = clock.now - said.store_contact_ms / 1000
+        members.receive_heartbeat(said)
+    members.receive_heartbeat(beat("started", zone=zone))  # It has had no answer yet.
     clock.now += 60.0  # What they said of the past holds.
-    told = members.duties.contacts(zone)
+    told = members.roles.store_contacts(zone)
     assert [contact.since for contact in told] == [since[n] for n in witnesses]
 
 
@@ -89,43 +89,47 @@
 
 
 def test_a_lease_found_at_the_first_look_must_change_soon(members: Members, clock: Clock) -> None:
-    members.discovery.leases_listed([lease("dead", 5), lease("alive", 6)])
-    assert members.duties.rivals({"a"}) == {"dead", "alive"}
-    clock.now += LIST_EVERY
-    members.discovery.leases_listed([lease("dead", 5), lease("alive", 7)])
+    members.discovery.take_leases([lease("dead", 5), lease("alive", 6)])
+    assert members.roles.possible_successors({"a"}) == {"dead", "alive"}
+    clock.now += LIST_INTERVAL
+    members.discovery.take_leases([lease("dead", 5), lease("alive", 7)])
     clock.now += 0.1
-    assert members.duties.rivals({"a"}) == {"alive"}
+    assert members.roles.possible_successors({"a"}) == {"alive"}
 
 
 def test_who_was_alive_stays_so_while_the_store_is_away(members: Members, clock: Clock) -> None:
-    members.discovery.leases_listed([lease("first", 1)])
-    members.discovery.leases_listed([lease("first", 2)])
+    members.discovery.take_leases([lease("first", 1)])
+    members.discovery.take_leases([lease("first", 2)])
     for _ in range(5):
-        clock.now += LIST_EVERY
-        members.discovery.directory.nothing_listed(clock.now)
-    assert members.duties.rivals({"a"}) == {"first"}
-    clock.now += GONE + 0.1
-    members.discovery.leases_listed([lease("first", 2)])
-    assert not members.duties.rivals({"a"})
+        clock.now += LIST_INTERVAL
+        members.discovery.directory.extend_presence(clock.now)
+    assert members.roles.possible_successors({"a"}) == {"first"}
+    clock.now += GONE_AFTER + 0.1
+    members.discovery.take_leases([lease("first", 2)])
+    assert not members.roles.possible_successors({"a"})
 
 
 def test_only_instances_of_the_zone_are_rivals_and_candidates(
     members: Members, clock: Clock
 ) -> None:
-    members.beat(beat("near"))
-    members.beat(beat("far", zone="b"))
-    assert members.duties.rivals({"a"}) == {"near"}
-    assert members.duties.candidates("a", me=True) == ["me", "near"]
-    assert members.duties.candidates("b", me=True) == []
-    assert members.duties.candidates("c", me=True) == ["far", "me", "near"]  # Nobody lives there.
+    members.receive_heartbeat(beat("near"))
+    members.receive_heartbeat(beat("far", zone="b"))
+    assert members.roles.possible_successors({"a"}) == {"near"}
+    assert members.roles.owner_candidates("a", include_self=True) == ["me", "near"]
+    assert members.roles.owner_candidates("b", include_self=True) == []
+    assert members.roles.owner_candidates("c", include_self=True) == [
+        "far",
+        "me",
+        "near",
+    ]  # Nobody lives there.
 
 
 def test_a_zone_that_fell_silent_is_left_alone_for_a_while(members: Members, clock: Clock) -> None:
-    members.beat(beat("far", zone="b"))
-    clock.now += ZONE_EMPTY - 0.1
-    assert members.duties.candidates("b", me=True) == []
+    members.receive_heartbeat(beat("far", zone="b"))
+    clock.now += ZONE_EMPTY_AFTER - 0.1
+    assert members.roles.owner_candidates("b", include_self=True) == []
     clock.now += 0.2
-    assert members.duties.candidates("b", me=True) == ["me"]
+    assert members.roles.owner_candidates("b", include_self=True) == ["me"]
 
 
 @pytest.mark.parametrize(
@@ -136,17 +140,19 @@
         (beat("peer", leaving=True), ["me"]),
     ],
 )
-def test_candidates(members: Members, told: Beat, expected: list[str]) -> None:
-    members.beat(told)
-    assert members.duties.candidates("a", me=True) == expected
-    assert members.duties.candidates("a", me=False) == [name for name in expected if name != "me"]
+def test_candidates(members: Members, told: Heartbeat, expected: list[str]) -> None:
+    members.receive_heartbeat(told)
+    assert members.roles.owner_candidates("a", include_self=True) == expected
+    assert members.roles.owner_candidates("a", include_self=False) == [
+        name for name in expected if name != "me"
+    ]
 
 
 def test_an_instance_that_just_started_is_not_preferred(members: Members, clock: Clock) -> None:
-    clock.now += SETTLED
-    members.beat(beat("young"))
-    assert members.duties.candidates("a", me=True) == ["me"]
+    clock.now += PREFERRED_AFTER
+    members.receive_heartbeat(beat("young"))
+    assert members.roles.owner_candidates("a", include_self=True) == ["me"]
     for _ in range(6):
         clock.now += 1.0
-        members.beat(beat("young"))
-    assert members.duties.candidates("a", me=True) == ["me", "young"]
+        members.receive_heartbeat(beat("young"))
+    assert members.roles.owner_candidates("a", include_self=True) == ["me", "young"]
--- a/tests/test_gateway_messages.py
+++ b/tests/test_gateway_messages.py
@@ -9,25 +9,27 @@
 import pytest
 from gateway_world import world
 from wigeonarch_gateway.messages import (
-    PACK_FROM,
-    UNPACKED_BOUND,
-    Follow,
+    MAX_DECOMPRESSED_BYTES,
+    MIN_COMPRESSED_BYTES,
+    CompressedFrame,
+    FollowRequest,
     Message,
-    Packed,
     Relay,
-    Told,
-    Untold,
+    StoreUpdate,
+    UpdateUnavailable,
     decode,
     encode,
 )
 
 
-def routes(count: int) -> Told:
+def routes(count: int) -> StoreUpdate:
     spec = {"routes": [{"host": "shop.example", "service": "desk", "n": n} for n in range(count)]}
-    return Told("k", 0, 1, 2, 3, False, [("main", 2, spec, False)], 7)
+    return StoreUpdate("k", 0, 1, 2, 3, False, [("main", 2, spec, False)], 7)
 
 
-@pytest.mark.parametrize("message", [Untold("k", 1), Follow("f", [(0, 12)], 3), routes(300)])
+@pytest.mark.parametrize(
+    "message", [UpdateUnavailable("k", 1), FollowRequest("f", [(0, 12)], 3), routes(300)]
+)
 def test_what_is_sent_is_received(message: Message) -> None:
     assert decode(encode(message)) == message
     assert decode(encode(Relay(encode(message)))) == Relay(encode(message))
@@ -35,7 +37,7 @@
 
 def test_a_long_message_that_repeats_itself_takes_a_fraction() -> None:
     plain = msgspec.msgpack.encode(routes(300))
-    assert len(plain) > 5 * PACK_FROM
+    assert len(plain) > 5 * MIN_COMPRESSED_BYTES
     assert len(encode(routes(300))) < len(plain) / 4
 
 
@@ -44,15 +46,17 @@
     [
         b"",
         b"\xc1",
-        msgspec.msgpack.encode(Packed(b"not compressed")),
-        msgspec.msgpack.encode(Packed(zlib.compress(b"\xc1"))),
-        msgspec.msgpack.encode(Packed(zlib.compress(encode(routes(300))[:50]))),
+        msgspec.msgpack.encode(CompressedFrame(b"not compressed")),
+        msgspec.msgpack.encode(CompressedFrame(zlib.compress(b"\xc1"))),
+        msgspec.msgpack.encode(CompressedFrame(zlib.compress(encode(routes(300))[:50]))),
         # Once only: a message inside a message inside a message is not one of ours.
         msgspec.msgpack.encode(
-            Packed(zlib.compress(msgspec.msgpack.encode(Packed(zlib.compress(b"x")))))
+            CompressedFrame(
+                zlib.compress(msgspec.msgpack.encode(CompressedFrame(zlib.compress(b"x"))))
+            )
         ),
         # A small frame that would fill the memory.
-        msgspec.msgpack.encode(Packed(zlib.compress(bytes(20 * UNPACKED_BOUND)))),
+        msgspec.msgpack.encode(CompressedFrame(zlib.compress(bytes(20 * MAX_DECOMPRESSED_BYTES)))),
     ],
 )
 def test_what_cannot_be_read_is_no_message(frame: bytes) -> None:
--- a/tests/test_gateway_older_holders.py
+++ b/tests/test_gateway_older_owners.py
@@ -51,17 +51,17 @@
             await until_true(lambda: len(found.nodes[0]._endpoints.ready("llm")) == 1)
             found.store.take_copy()
             found.store._copy = found.store._copy[0] - LATER, found.store._copy[1]
-        await found.served("/write/x", adapter="a1")
-        first = found.holder("i-llm")
+        await found.wait_until_served("/write/x", adapter="a1")
+        first = found.recorded_owner("i-llm")
         if copied == "after_the_claim":
             found.store.take_copy()
             found.store._copy = found.store._copy[0] - LATER, found.store._copy[1]
         await found.store.come_back_older()
         await noticed(found)
-        await found.served("/write/x", node=0, adapter="a2")
+        await found.wait_until_served("/write/x", node=0, adapter="a2")
         lost = lose(found, first)
-        await until_true(lambda: found.holder("i-llm") not in ("", first))
-        await found.served("/write/x", node=1 - lost, adapter="b1")
+        await until_true(lambda: found.recorded_owner("i-llm") not in ("", first))
+        await found.wait_until_served("/write/x", node=1 - lost, adapter="b1")
         assert len({holder for _, holder, _ in engine.order_arrivals}) == 2
         check_orders(engine)
 
@@ -71,14 +71,14 @@
         engine = found.replicas[0]
         await until_true(lambda: len(found.nodes[0]._endpoints.ready("llm")) == 1)
         found.store.take_copy()
-        await found.served("/write/x", adapter="a1")
-        first = found.holder("i-llm")
+        await found.wait_until_served("/write/x", adapter="a1")
+        first = found.recorded_owner("i-llm")
         for drill in range(3):
             await found.store.come_back_older()
-            assert found.holder("i-llm") == ""
-            await until_true(lambda: found.holder("i-llm"))
-            assert found.holder("i-llm") == first
+            assert found.recorded_owner("i-llm") == ""
+            await until_true(lambda: found.recorded_owner("i-llm"))
+            assert found.recorded_owner("i-llm") == first
             for node in range(3):
-                await found.served("/write/x", node=node, adapter=f"b{drill}{node}")
+                await found.wait_until_served("/write/x", node=node, adapter=f"b{drill}{node}")
         assert {holder for _, holder, _ in engine.order_arrivals} == {first}
         check_orders(engine)
--- a/tests/test_gateway_older_store.py
+++ b/tests/test_gateway_older_store.py
@@ -39,7 +39,7 @@
 async def test_a_configuration_with_a_revision_given_out_again_is_in_force(nodes: int) -> None:
     async with world(nodes=nodes) as found:
         for node in range(nodes):
-            await found.served("/ask/x", node=node)
+            await found.wait_until_served("/ask/x", node=node)
         found.store.take_copy()
         await found.store.put("config", "main", configuration(2))
         await in_force(found, 2)
@@ -51,7 +51,7 @@
         )
         await in_force(found, 3)
         for node in range(nodes):
-            assert (await found.ask("/new/x", node=node)).status == 200
+            assert (await found.send_request("/new/x", node=node)).status == 200
 
 
 async def test_a_leaving_with_a_revision_given_out_again_is_obeyed() -> None:
@@ -71,7 +71,7 @@
 
 async def test_a_configuration_that_the_copy_lacks_stays_in_force() -> None:
     async with world(nodes=2) as found:
-        await found.served("/ask/x")
+        await found.wait_until_served("/ask/x")
         found.store.take_copy()
         await found.store.put(
             "config", "main", configuration(2, route("new", "idempotent", "desk"))
@@ -84,7 +84,7 @@
 
         await until(asked_again)
         for node in range(2):
-            assert (await found.ask("/new/x", node=node)).status == 200
+            assert (await found.send_request("/new/x", node=node)).status == 200
 
 
 async def test_an_endpoint_that_was_leaving_is_not_made_ready_by_the_copy() -> None:
@@ -134,8 +134,10 @@
         await found.store.come_back_older()
         await until_true(lambda: endpoints.get(other.name) is None)
         await found.store.put("servers", other.name, other.record())
-        await until_true(lambda: other.name in endpoints._copied or endpoints.get(other.name))
-        assert other.name not in endpoints._copied
+        await until_true(
+            lambda: other.name in endpoints._old_copy_records or endpoints.get(other.name)
+        )
+        assert other.name not in endpoints._old_copy_records
 
 
 async def gone_and_copied(found: World) -> Replica:
@@ -147,7 +149,9 @@
     await until_true(lambda: all(len(node._endpoints.ready("desk")) == 1 for node in found.nodes))
     await found.store.come_back_older()
     await found.store.put("config", "main", configuration(2))
-    await until_true(lambda: all(other.name in node._endpoints._copied for node in found.nodes))
+    await until_true(
+        lambda: all(other.name in node._endpoints._old_copy_records for node in found.nodes)
+    )
     await in_force(found, 2)
     return other
 
@@ -156,11 +160,11 @@
     async with world(nodes=2) as found:
         other = await gone_and_copied(found)
         for _ in range(20):
-            assert (await found.ask("/ask/x")).status == 200
+            assert (await found.send_request("/ask/x")).status == 200
         assert other.arrived == []
         await found.store.delete("servers", other.name)
         await until_true(
-            lambda: not any(other.name in node._endpoints._copied for node in found.nodes)
+            lambda: not any(other.name in node._endpoints._old_copy_records for node in found.nodes)
         )
         assert all(len(node._endpoints.ready("desk")) == 1 for node in found.nodes)
 
--- a/tests/test_gateway_rests.py
+++ b/tests/test_gateway_rests.py
@@ -37,7 +37,7 @@
     statuses: list[int] = []
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        asked = [found.ask(path, node=n, X_Model=model) for n in range(len(found.nodes))]
+        asked = [found.send_request(path, node=n, X_Model=model) for n in range(len(found.nodes))]
         statuses += [answer.status for answer in await asyncio.gather(*asked)]
         await asyncio.sleep(0.01)
     return statuses
@@ -57,7 +57,7 @@
         await found.add_replica(Replica(service, model=model, name="i-other"))
         await all_ready(found, service, 2)
         for node in range(2):
-            await found.served(path, node=node)
+            await found.wait_until_served(path, node=node)
         tired.rest, tired.trouble = rest, Trouble.SHED
         statuses = await load(found, path, 3.0, model)
         assert tired.away_at
@@ -69,27 +69,27 @@
     async with world(nodes=2) as found:
         desk = found.replicas[1]
         for node in range(2):
-            await found.served("/ask/x", node=node)
+            await found.wait_until_served("/ask/x", node=node)
         desk.rest, desk.trouble = "6", Trouble.SHED
-        await found.ask("/ask/x")
+        await found.send_request("/ask/x")
         arrived = len(desk.arrived)
         desk.trouble = Trouble.NONE
-        answers = [await found.ask("/ask/x") for _ in range(3)]
+        answers = [await found.send_request("/ask/x") for _ in range(3)]
         assert [answer.status for answer in answers] == [503] * 3
         assert all(1.0 < float(answer.headers["retry-after"]) <= 6.0 for answer in answers)
         assert len(desk.arrived) == arrived
         # The other instance was not asked for rest.
-        assert (await found.ask("/ask/x", node=1)).status == 200
+        assert (await found.send_request("/ask/x", node=1)).status == 200
 
 
 async def test_an_endpoint_is_used_again_when_its_rest_is_over() -> None:
     async with world(nodes=1) as found:
         desk = found.replicas[1]
-        await found.served("/ask/x")
+        await found.wait_until_served("/ask/x")
         desk.rest, desk.trouble = "1", Trouble.SHED
-        assert (await found.ask("/ask/x")).status == 503
+        assert (await found.send_request("/ask/x")).status == 503
         desk.trouble = Trouble.NONE
-        await found.served("/ask/x")
+        await found.wait_until_served("/ask/x")
 
 
 async def test_a_holder_gives_no_orders_while_its_engine_wants_rest() -> None:
@@ -97,14 +97,14 @@
         engine = found.replicas[0]
         await found.add_replica(Replica("llm", model="m", name="i-other"))
         await all_ready(found, "llm", 2)
-        await until_true(lambda: found.holder("i-llm") and found.holder("i-other"))
-        holder = int(found.holder("i-llm").removeprefix("edge-"))
+        await until_true(lambda: found.recorded_owner("i-llm") and found.recorded_owner("i-other"))
+        holder = int(found.recorded_owner("i-llm").removeprefix("edge-"))
         for node in range(2):
-            await found.served("/write/x", node=node, adapter="a")
+            await found.wait_until_served("/write/x", node=node, adapter="a")
         engine.rest, engine.trouble = "2.5", Trouble.SHED
 
         async def asked() -> bool:
-            await found.ask("/write/x", node=holder, X_Model="m")
+            await found.send_request("/write/x", node=holder, X_Model="m")
             return bool(engine.away_at)
 
         await until(asked)
@@ -114,6 +114,8 @@
         # The other instance, which was not asked for rest, needs adapters all the while.
         while time.monotonic() < end:
             adapter = f"rare{len(statuses)}"
-            statuses.append((await found.ask("/write/x", node=1 - holder, adapter=adapter)).status)
+            statuses.append(
+                (await found.send_request("/write/x", node=1 - holder, adapter=adapter)).status
+            )
         assert most_in_a_rest(engine, 2.5) == 0
         assert statuses == [200] * len(statuses)
--- a/tests/test_gateway_sharing.py
+++ b/tests/test_gateway_sharing.py
@@ -5,17 +5,17 @@
 import asyncio
 
 import pytest
-from gateway_world import World, configuration, contact, cut_from_store, until_true, world
+from gateway_world import World, configuration, cut_from_store, new_store_contact, until_true, world
 from standins.store import Trouble
 from wigeonarch_core.store_contact import StoreContact
-from wigeonarch_gateway.messages import Follow, Told, Untold
+from wigeonarch_gateway.messages import FollowRequest, StoreUpdate, UpdateUnavailable
 from wigeonarch_gateway.node import Node
-from wigeonarch_gateway.options import ObeyedOptions, StoreOptions
-from wigeonarch_gateway.ports import EndpointState, Kinds
-from wigeonarch_gateway.sharing import KINDS, Sharing
+from wigeonarch_gateway.options import PropagationBounds, StoreOptions
+from wigeonarch_gateway.ports import EndpointState, ObjectKind
+from wigeonarch_gateway.sharing import KINDS, WatchSharing
 from wigeonarch_runtime.clock import monotonic
 
-KIND = Kinds.ENDPOINTS
+KIND = ObjectKind.ENDPOINTS
 LAPSE = StoreOptions().lapse
 INSTANCES = 8  # Of which three are keepers, and one of these watches.
 
@@ -29,7 +29,7 @@
 
 
 def keepers(found: World) -> list[Node]:
-    names = found.nodes[0]._members.duties.keepers()
+    names = found.nodes[0]._members.roles.delegates()
     return [node for node in found.nodes if node._opts.instance in names]
 
 
@@ -38,7 +38,7 @@
 
     def told() -> bool:
         lately = [
-            all(map(node._sharing.told_lately, node._sharing.kinds())) for node in found.nodes
+            all(map(node._sharing.is_kept_current, node._sharing.kinds())) for node in found.nodes
         ]
         return lately.count(True) == INSTANCES - 1 and len(watchers(found)) == 1
 
@@ -89,9 +89,9 @@
         names = [node._opts.instance for node in keepers(found)]
         assert len(names) == 3
         others = [node for node in found.nodes if node._opts.instance not in names]
-        await until_true(lambda: not any(node._lease_left()[1] for node in others))
-        await found.served("/write/x", adapter="a1")
-        assert found.holder("i-llm") in names
+        await until_true(lambda: not any(node._own_lease_left()[1] for node in others))
+        await found.wait_until_served("/write/x", adapter="a1")
+        assert found.recorded_owner("i-llm") in names
 
 
 async def test_without_a_keeper_a_follower_watches_for_itself() -> None:
@@ -122,7 +122,7 @@
     async with world(nodes=INSTANCES) as found:
         told = await settled(found)
         found.store.trouble = Trouble.BUSY
-        await until_true(lambda: all(node._state.away for node in found.nodes))
+        await until_true(lambda: all(node._store_state.is_away for node in found.nodes))
         before = [asked(node) for node in found.nodes]
         await asyncio.sleep(2.0)
         calls = {
@@ -149,9 +149,9 @@
         await asyncio.sleep(1.5)
         await found.store.delete("servers", "i-desk")
         found.store.trouble = Trouble.NONE
-        await until_true(lambda: not any(node._state.away for node in watching))
+        await until_true(lambda: not any(node._store_state.is_away for node in watching))
         await found.store.put("servers", "i-desk", found.replicas[1].record())
-        await until_true(lambda: not any(node._state.away for node in found.nodes))
+        await until_true(lambda: not any(node._store_state.is_away for node in found.nodes))
         await asyncio.sleep(1.5)  # Longer than what is missing is kept.
         assert not dropped
         assert all(node._endpoints.get("i-desk") is not None for node in found.nodes)
@@ -182,7 +182,7 @@
 
 def follower(
     opts: StoreOptions | None = None, known: StoreContact | None = None
-) -> tuple[Sharing, list[bytes]]:
+) -> tuple[WatchSharing, list[bytes]]:
     """Returns the sharing of an instance that follows `k` and has the state of revision 10."""
     sent: list[bytes] = []
 
@@ -190,17 +190,19 @@
         sent.append(frame)
         return True
 
-    sharing = Sharing("me", opts or StoreOptions(), lambda: ["k"], send, known or contact())
-    sharing.add(KIND, lambda change: True)
-    sharing.feed(KIND).listed([], 10)
-    sharing._ask()
+    sharing = WatchSharing(
+        "me", opts or StoreOptions(), lambda: ["k"], send, known or new_store_contact()
+    )
+    sharing.add_kind(KIND, lambda change: True)
+    sharing.feed(KIND).apply_list([], 10)
+    sharing._request_update()
     return sharing, sent
 
 
-def message(since: int, as_of: int, age: float = 0.0) -> Told:
+def message(since: int, as_of: int, age: float = 0.0) -> StoreUpdate:
     """Returns an answer to the first word of `follower`."""
     age_ms = int(age * 1000)
-    return Told("k", KINDS.index(KIND), since, as_of, age_ms, False, [], answers=1)
+    return StoreUpdate("k", KINDS.index(KIND), since, as_of, age_ms, False, [], in_reply_to=1)
 
 
 @pytest.mark.parametrize(("since", "lately"), [(10, True), (8, True), (12, False)])
@@ -208,21 +210,21 @@
     since: int, lately: bool
 ) -> None:
     sharing, _ = follower()
-    sharing.told(message(since, 14))
-    assert sharing.told_lately(KIND) is lately
+    sharing.receive_update(message(since, 14))
+    assert sharing.is_kept_current(KIND) is lately
     # After it is known that the keeper lacks what is needed, only a message without a gap counts.
-    sharing.untold(Untold("k", KINDS.index(KIND)))
-    assert not sharing.told_lately(KIND)
-    sharing.told(message(30, 31))
-    assert not sharing.told_lately(KIND)
+    sharing.receive_unavailable(UpdateUnavailable("k", KINDS.index(KIND)))
+    assert not sharing.is_kept_current(KIND)
+    sharing.receive_update(message(30, 31))
+    assert not sharing.is_kept_current(KIND)
 
 
 def test_a_keeper_says_nothing_of_the_stores_return_before_it_has_read_what_it_missed() -> None:
     sharing, sent = follower()
-    sharing.asked(Follow("f", []))
-    sharing.store_lost(KIND)
+    sharing.answer_follower(FollowRequest("f", []))
+    sharing.note_store_failure(KIND)
     before = len(sent)
-    sharing.store_answered(KIND)
+    sharing.note_store_answer(KIND)
     assert len(sent) == before
 
 
@@ -239,25 +241,25 @@
     relied_on: bool, age: float, outage: bool
 ) -> None:
     # A bound that lets a follower rely on knowledge of that age.
-    known = contact()
-    sharing, _ = follower(StoreOptions(obeyed=ObeyedOptions(endpoints=2 * LAPSE)), known)
+    known = new_store_contact()
+    sharing, _ = follower(StoreOptions(propagation=PropagationBounds(endpoints=2 * LAPSE)), known)
     if relied_on:
-        sharing.told(message(10, 12, age))
-    sharing.told(Told("k", KINDS.index(KIND), 12, 12, 0, True, []))
+        sharing.receive_update(message(10, 12, age))
+    sharing.receive_update(StoreUpdate("k", KINDS.index(KIND), 12, 12, 0, True, []))
     assert not sharing.following
-    known.failed(monotonic())  # Its own watch fails, then is answered twice.
+    known.record_failure(monotonic())  # Its own watch fails, then is answered twice.
     for _ in range(2):
-        known.answered(monotonic())
-        sharing.store_answered(KIND)
+        known.record_answer(monotonic())
+        sharing.note_store_answer(KIND)
     assert (known.may_lapse_until([]) > monotonic()) is outage
 
 
 @pytest.mark.parametrize(
-    ("age", "vouched"), [(0.5, True), (StoreOptions().obeyed.endpoints, False)]
+    ("age", "vouched"), [(0.5, True), (StoreOptions().propagation.endpoints, False)]
 )
 def test_a_keeper_that_was_never_up_to_date_vouches_for_nothing(age: float, vouched: bool) -> None:
-    known = contact()
+    known = new_store_contact()
     sharing, _ = follower(known=known)
-    sharing.told(message(10, 12, age))
-    assert sharing.told_lately(KIND) is vouched
+    sharing.receive_update(message(10, 12, age))
+    assert sharing.is_kept_current(KIND) is vouched
     assert (known.contact() is not None) is vouched
--- a/tests/test_gateway_watching.py
+++ b/tests/test_gateway_watching.py
@@ -6,22 +6,22 @@
 from typing import Any
 
 import pytest
-from gateway_world import contact
+from gateway_world import new_store_contact
 from wigeonarch_gateway.options import StoreOptions
 from wigeonarch_gateway.ports import (
     Change,
     Changes,
     HistoryGone,
-    Kinds,
     Listing,
+    ObjectKind,
     StoredObject,
     Unavailable,
 )
-from wigeonarch_gateway.sharing import Sharing
-from wigeonarch_gateway.watching import StoreState, Watched, keep_watching
+from wigeonarch_gateway.sharing import WatchSharing
+from wigeonarch_gateway.watching import StoreReachability, WatchedKind, keep_watching
 
 OPTS = StoreOptions(retry=0.0)
-KIND = Kinds.CONFIGURATION
+KIND = ObjectKind.CONFIGURATION
 
 
 class Script:
@@ -32,10 +32,10 @@
         self.calls: list[tuple[str, int]] = []
         self.waits: list[float] = []
 
-    async def list(self, kind: Kinds, stale: bool = False) -> Any:
+    async def list(self, kind: ObjectKind, stale: bool = False) -> Any:
         return await self._next("list", 0)
 
-    async def watch(self, kind: Kinds, since: int, wait: float) -> Any:
+    async def watch(self, kind: ObjectKind, since: int, wait: float) -> Any:
         self.waits.append(wait)
         return await self._next("watch", since)
 
@@ -91,18 +91,20 @@
 async def test_calls_and_what_is_seen(
     answers: list[Any], calls: list[tuple[str, int]], seen: list[int]
 ) -> None:
-    store, state, told = Script(*answers), StoreState(), []
-    sharing = Sharing("me", OPTS, lambda: ["me"], lambda name, frame: True, contact())
+    store, state, told = Script(*answers), StoreReachability(), []
+    sharing = WatchSharing(
+        "me", OPTS, lambda: ["me"], lambda name, frame: True, new_store_contact()
+    )
 
     def changed(change: Change) -> bool:
-        told.append(change.found.revision)
+        told.append(change.stored.revision)
         return True
 
     def listed(objects: tuple[StoredObject, ...]) -> None:
         told.extend(one.revision for one in objects)
 
-    sharing.add(KIND, changed)
-    watched = Watched(KIND, listed, OPTS.watch_configuration)
+    sharing.add_kind(KIND, changed)
+    watched = WatchedKind(KIND, listed, OPTS.watch_configuration)
     task = asyncio.create_task(
         keep_watching(store, state, OPTS, sharing, watched)  # type: ignore[arg-type]
     )
@@ -126,14 +128,14 @@
     def __init__(self, failure: Unavailable) -> None:
         self.failure = failure
         self.fail = asyncio.Event()
-        self.watching: list[Kinds] = []
-        self.listed: list[Kinds] = []
+        self.watching: list[ObjectKind] = []
+        self.listed: list[ObjectKind] = []
 
-    async def list(self, kind: Kinds, stale: bool = False) -> Any:
+    async def list(self, kind: ObjectKind, stale: bool = False) -> Any:
         self.listed.append(kind)
         return listing(10 + len(self.listed))
 
-    async def watch(self, kind: Kinds, since: int, wait: float) -> Any:
+    async def watch(self, kind: ObjectKind, since: int, wait: float) -> Any:
         self.watching.append(kind)
         if kind is KIND and not self.fail.is_set():
             await self.fail.wait()
@@ -144,20 +146,22 @@
 @pytest.mark.parametrize(
     ("failure", "listed_again"),
     [
-        (Unavailable("TimeoutError"), {KIND, Kinds.ENDPOINTS, Kinds.VERSIONS}),
+        (Unavailable("TimeoutError"), {KIND, ObjectKind.ENDPOINTS, ObjectKind.VERSIONS}),
         # A refusal is an answer: the other watches may go on.
-        (Unavailable("status 503", undone=True), {KIND}),
+        (Unavailable("status 503", no_effect=True), {KIND}),
     ],
 )
 async def test_a_call_without_an_answer_casts_doubt_on_the_watches_beside_it(
-    failure: Unavailable, listed_again: set[Kinds]
+    failure: Unavailable, listed_again: set[ObjectKind]
 ) -> None:
-    store, state = SilentWatches(failure), StoreState()
-    sharing = Sharing("me", OPTS, lambda: ["me"], lambda name, frame: True, contact())
+    store, state = SilentWatches(failure), StoreReachability()
+    sharing = WatchSharing(
+        "me", OPTS, lambda: ["me"], lambda name, frame: True, new_store_contact()
+    )
     tasks = []
-    for kind in Kinds.CONFIGURATION, Kinds.ENDPOINTS, Kinds.VERSIONS:
-        sharing.add(kind, lambda change: True)
-        watched = Watched(kind, lambda objects: None, 100.0)
+    for kind in ObjectKind.CONFIGURATION, ObjectKind.ENDPOINTS, ObjectKind.VERSIONS:
+        sharing.add_kind(kind, lambda change: True)
+        watched = WatchedKind(kind, lambda objects: None, 100.0)
         duty = keep_watching(store, state, OPTS, sharing, watched)  # type: ignore[arg-type]
         tasks.append(asyncio.create_task(duty))
     async with asyncio.timeout(10.0):
@@ -178,38 +182,40 @@
     def __init__(self) -> None:
         self.back = False
         self.stale: list[bool] = []
-        self.calls: list[Kinds] = []
+        self.calls: list[ObjectKind] = []
 
-    async def list(self, kind: Kinds, stale: bool = False) -> Any:
+    async def list(self, kind: ObjectKind, stale: bool = False) -> Any:
         self.calls.append(kind)
         self.stale.append(stale)
         await asyncio.sleep(0)
-        return listing(10) if self.back else Unavailable("status 503", undone=True)
+        return listing(10) if self.back else Unavailable("status 503", no_effect=True)
 
-    async def watch(self, kind: Kinds, since: int, wait: float) -> Any:
+    async def watch(self, kind: ObjectKind, since: int, wait: float) -> Any:
         self.calls.append(kind)
         if not self.back:
-            return Unavailable("status 503", undone=True)
+            return Unavailable("status 503", no_effect=True)
         return await asyncio.get_running_loop().create_future()
 
 
 async def test_in_an_outage_one_kind_asks_for_all() -> None:
-    store, state = Away(), StoreState()
-    sharing = Sharing("me", OPTS, lambda: ["me"], lambda name, frame: True, contact())
+    store, state = Away(), StoreReachability()
+    sharing = WatchSharing(
+        "me", OPTS, lambda: ["me"], lambda name, frame: True, new_store_contact()
+    )
     tasks = []
-    kinds = {Kinds.CONFIGURATION, Kinds.ENDPOINTS, Kinds.VERSIONS}
+    kinds = {ObjectKind.CONFIGURATION, ObjectKind.ENDPOINTS, ObjectKind.VERSIONS}
     for kind in kinds:
-        sharing.add(kind, lambda change: True)
-        watched = Watched(kind, lambda objects: None, 100.0)
+        sharing.add_kind(kind, lambda change: True)
+        watched = WatchedKind(kind, lambda objects: None, 100.0)
         duty = keep_watching(store, state, OPTS, sharing, watched)  # type: ignore[arg-type]
         tasks.append(asyncio.create_task(duty))
     async with asyncio.timeout(10.0):
         while len(store.calls) < 20:  # noqa: ASYNC110 - outside.
             await asyncio.sleep(0)
         assert len(set(store.calls[3:])) == 1
-        assert state.away
+        assert state.is_away
         store.back = True
-        while state.away:  # noqa: ASYNC110 - outside.
+        while state.is_away:  # noqa: ASYNC110 - outside.
             await asyncio.sleep(0)
     for task in tasks:
         task.cancel()
@@ -219,22 +225,24 @@
 
 
 async def test_only_the_first_list_may_be_of_a_copy_that_lags() -> None:
-    store, state = Away(), StoreState()
+    store, state = Away(), StoreReachability()
     store.back = True
-    sharing = Sharing("me", OPTS, lambda: ["me"], lambda name, frame: True, contact())
-    sharing.add(KIND, lambda change: True)
+    sharing = WatchSharing(
+        "me", OPTS, lambda: ["me"], lambda name, frame: True, new_store_contact()
+    )
+    sharing.add_kind(KIND, lambda change: True)
     duty = keep_watching(
         store,  # type: ignore[arg-type]
         state,
         OPTS,
         sharing,
-        Watched(KIND, lambda objects: None, 100.0),
+        WatchedKind(KIND, lambda objects: None, 100.0),
     )
     task = asyncio.create_task(duty)
     async with asyncio.timeout(10.0):
         while len(store.calls) < 2:  # noqa: ASYNC110 - outside.
             await asyncio.sleep(0)
-        state.unreachable(Kinds.ENDPOINTS, Unavailable("silent"))
+        state.note_failure(ObjectKind.ENDPOINTS, Unavailable("silent"))
         while len(store.stale) < 2:  # noqa: ASYNC110 - outside.
             await asyncio.sleep(0)
     task.cancel()
--- a/tests/test_gateway_zones.py
+++ b/tests/test_gateway_zones.py
@@ -5,37 +5,37 @@
 from collections import Counter
 
 import pytest
-from gateway_world import contact
+from gateway_world import new_store_contact
 from wigeonarch_core.engine_places import AdapterKey
 from wigeonarch_gateway import members as module
-from wigeonarch_gateway.directory import LARGE_ZONE, PRESENT, RELAY_SEEN
-from wigeonarch_gateway.discovery import INTRODUCED
-from wigeonarch_gateway.duties import KEEPERS_LEAST, OUT_OF_CONTACT, SETTLED
-from wigeonarch_gateway.links import Links
-from wigeonarch_gateway.members import KNOWN_AFTER, Members
+from wigeonarch_gateway.directory import LARGE_ZONE, PRESENT_WITHIN, RELAY_RENEWED_WITHIN
+from wigeonarch_gateway.discovery import SEED_REPLY_TIME
+from wigeonarch_gateway.members import ANNOUNCEMENT_TIME, Members
 from wigeonarch_gateway.messages import (
-    Beat,
-    Introduction,
-    LoadShare,
+    AdapterUse,
+    EndpointLoad,
+    Heartbeat,
     Message,
+    PeerAddresses,
+    PeerQuery,
     Relay,
-    Used,
-    WhoIsThere,
     decode,
     encode,
 )
 from wigeonarch_gateway.metrics import Metrics
 from wigeonarch_gateway.options import Options
+from wigeonarch_gateway.peer_socket import PeerSocket
 from wigeonarch_gateway.ports import StoredObject
-from wigeonarch_gateway.traffic import Traffic
+from wigeonarch_gateway.roles import MIN_DELEGATES, PREFERRED_AFTER, STORE_LOST_AFTER
+from wigeonarch_gateway.traffic import InFlightTracker
 
 PORT = 7700
 ZONE_SIZE = 10
 HERE, THERE = "a", "b"
-SHARE = LoadShare("i-1", 2, 30, 400)
+SHARE = EndpointLoad("i-1", 2, 30, 400)
 
 
-class RecordingLinks(Links):
+class RecordingLinks(PeerSocket):
     """Keeps what is sent, by address."""
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
     def __init__(self, clock: Clock, me: str, size: int, holder: str = "") -> None:
         self.clock = clock
         self.links = RecordingLinks()
-        self.traffic = Traffic()
+        self.traffic = InFlightTracker()
         ip = address(me).partition(":")[0]
         opts = Options(me, me[0], ip, f"{ip}:1", f"{ip}:2", PORT, 3)
         self.members = Members(
@@ -84,7 +84,7 @@
             lambda name: None,
             lambda name: None,
             Metrics(),
-            contact(),
+            new_store_contact(),
         )
         self.names = [f"{zone}-{n}" for zone in (HERE, THERE) for n in range(size)]
         self.others = [name for name in self.names if name != me]
@@ -92,7 +92,7 @@
             StoredObject(name, 1, {"address": address(name), "zone": name[0]})
             for name in self.names
         ]
-        self.members.discovery.leases_listed(objects)
+        self.members.discovery.take_leases(objects)
         self.hear_all()
 
     def hear_all(self) -> None:
@@ -101,14 +101,14 @@
 
     def hear(self, name: str, leaving: bool = False, silent: float = 0.0) -> None:
         """Hears a heartbeat; `silent` are the seconds since the store's last answer to it."""
-        beat = Beat(name, "boot", address(name), name[0], leaving, 5, 3000, [SHARE], [])
-        beat.contact_ms, beat.answered_ms = 60_000, int(silent * 1000)
-        self.members.beat(beat)
+        beat = Heartbeat(name, "boot", address(name), name[0], leaving, 5, 3000, [SHARE], [])
+        beat.store_contact_ms, beat.store_answered_ms = 60_000, int(silent * 1000)
+        self.members.receive_heartbeat(beat)
 
     def told(self) -> Counter[str]:
         """Sends heartbeats; returns how many went to each zone."""
         self.links.sent.clear()
-        self.members._beat_all()
+        self.members._send_heartbeat_round()
         return Counter(self.zone(to) for to, _ in self.links.sent)
 
     def zone(self, to: str) -> str:
@@ -119,7 +119,7 @@
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
     found = Clock()
     monkeypatch.setattr(module, "monotonic", found)
-    monkeypatch.setattr("wigeonarch_gateway.duties.monotonic", found)
+    monkeypatch.setattr("wigeonarch_gateway.roles.monotonic", found)
     monkeypatch.setattr("wigeonarch_gateway.discovery.monotonic", found)
     monkeypatch.setattr("wigeonarch_gateway.traffic.monotonic", found)
     return found
@@ -127,45 +127,45 @@
 
 def grown(clock: Clock, keeper: bool, size: int = ZONE_SIZE, holder: str = "") -> Deployment:
     """Returns the view of an instance that is a keeper, or is not, some time after the start."""
-    names = Deployment(clock, f"{HERE}-0", size).members.duties.keepers()
+    names = Deployment(clock, f"{HERE}-0", size).members.roles.delegates()
     other = [name for name in (f"{HERE}-{n}" for n in range(size)) if name not in names]
     found = Deployment(clock, names[0] if keeper else other[0], size, holder)
-    clock.now += SETTLED + KNOWN_AFTER
+    clock.now += PREFERRED_AFTER + ANNOUNCEMENT_TIME
     found.hear_all()
     return found
 
 
 def test_all_instances_of_a_zone_agree_on_its_keepers(clock: Clock) -> None:
     views = {
-        tuple(Deployment(clock, f"{HERE}-{n}", ZONE_SIZE).members.duties.keepers())
+        tuple(Deployment(clock, f"{HERE}-{n}", ZONE_SIZE).members.roles.delegates())
         for n in range(ZONE_SIZE)
     }
     assert len(views) == 1
-    assert len(views.pop()) == KEEPERS_LEAST
+    assert len(views.pop()) == MIN_DELEGATES
 
 
 def test_all_of_a_small_zone_are_keepers_and_tell_everybody(clock: Clock) -> None:
     found = grown(clock, True, size=LARGE_ZONE)
-    assert len(found.members.duties.keepers()) == LARGE_ZONE
+    assert len(found.members.roles.delegates()) == LARGE_ZONE
     assert found.told() == {HERE: LARGE_ZONE - 1, THERE: LARGE_ZONE}
 
 
 def test_a_keeper_that_leaves_is_replaced(clock: Clock) -> None:
     found = grown(clock, True)
-    gone = found.members.duties.keepers()[1]
+    gone = found.members.roles.delegates()[1]
     found.hear(gone, leaving=True)
-    assert gone not in found.members.duties.keepers()
-    assert len(found.members.duties.keepers()) == KEEPERS_LEAST
+    assert gone not in found.members.roles.delegates()
+    assert len(found.members.roles.delegates()) == MIN_DELEGATES
 
 
 def test_a_newcomer_is_no_keeper_before_it_has_stayed_for_a_while(clock: Clock) -> None:
     found = grown(clock, True)
-    before = found.members.duties.keepers()
+    before = found.members.roles.delegates()
     newcomers = [f"{HERE}-{n}" for n in range(100, 100 + ZONE_SIZE)]
     for name in newcomers:
         found.hear(name)
-    assert not set(newcomers) & set(found.members.duties.keepers())
-    assert set(before) <= set(found.members.duties.keepers())
+    assert not set(newcomers) & set(found.members.roles.delegates())
+    assert set(before) <= set(found.members.roles.delegates())
 
 
 def test_one_that_just_started_makes_itself_known_to_all(clock: Clock) -> None:
@@ -186,8 +186,8 @@
     found.traffic.begin("i-1", 5, 7, AdapterKey("m", "x", 1))
     found.told()
     inner = [decode(m.frame) for _, m in found.links.sent if isinstance(m, Relay)]
-    assert [beat.loads for beat in inner if isinstance(beat, Beat)] == [
-        [LoadShare("i-1", 2 * (ZONE_SIZE - 1) + 1, 30 * (ZONE_SIZE - 1) + 5, 3607, 5)]
+    assert [beat.loads for beat in inner if isinstance(beat, Heartbeat)] == [
+        [EndpointLoad("i-1", 2 * (ZONE_SIZE - 1) + 1, 30 * (ZONE_SIZE - 1) + 5, 3607, 5)]
     ]
 
 
@@ -196,7 +196,9 @@
     found.traffic.begin("i-1", 5, 7, AdapterKey("m", "x", 1))
     found.told()
     beats = [m for to, m in found.links.sent if to == address(f"{THERE}-4")]
-    assert [(b.loads, len(b.uses)) for b in beats if isinstance(b, Beat)] == [([], 1)]
+    assert [(b.loads, len(b.adapters_in_use)) for b in beats if isinstance(b, Heartbeat)] == [
+        ([], 1)
+    ]
 
 
 def test_what_all_should_know_goes_to_one_of_each_other_zone(clock: Clock) -> None:
@@ -204,7 +206,7 @@
     reached = set()
     for _ in range(200):
         found.links.sent.clear()
-        found.members.send_all(Used("me", "i-1", ("m", "x", 1)))
+        found.members.send_all(AdapterUse("me", "i-1", ("m", "x", 1)))
         assert Counter(found.zone(to) for to, _ in found.links.sent) == {HERE: 9, THERE: 1}
         reached |= {to for to, message in found.links.sent if isinstance(message, Relay)}
     assert len(reached) == ZONE_SIZE  # Each bears its part.
@@ -213,8 +215,8 @@
 def test_an_instance_whose_lease_does_not_change_is_no_relay(clock: Clock) -> None:
     found = grown(clock, True)
     living = [name for name in found.names if name != f"{THERE}-3"]
-    clock.now += RELAY_SEEN
-    found.members.discovery.leases_listed(
+    clock.now += RELAY_RENEWED_WITHIN
+    found.members.discovery.take_leases(
         [StoredObject(name, 2, {"address": address(name), "zone": name[0]}) for name in living]
     )
     assert len(found.members._relays()[THERE]) == ZONE_SIZE - 1
@@ -225,17 +227,17 @@
 def test_a_relay_hands_on_in_its_own_zone_only(clock: Clock) -> None:
     found = grown(clock, True)
     found.links.sent.clear()
-    found.members.relay(Relay(encode(Used("you", "i-1", ("m", "x", 1)))))
+    found.members.forward_in_zone(Relay(encode(AdapterUse("you", "i-1", ("m", "x", 1)))))
     assert Counter(found.zone(to) for to, _ in found.links.sent) == {HERE: ZONE_SIZE - 1}
 
 
 def test_instances_that_are_not_heard_count_for_the_retry_bound(clock: Clock) -> None:
     found = grown(clock, True)
-    found.members.discovery.leases_listed(
+    found.members.discovery.take_leases(
         [StoredObject(name, 2, {"address": address(name), "zone": name[0]}) for name in found.names]
     )
-    clock.now += 2 * SETTLED  # Nobody is heard.
-    assert found.members.duties.count() == len(found.names)
+    clock.now += 2 * PREFERRED_AFTER  # Nobody is heard.
+    assert found.members.roles.instance_count() == len(found.names)
 
 
 def test_a_zone_whose_instances_are_gone_is_not_large_although_their_leases_stay(
@@ -243,9 +245,9 @@
 ) -> None:
     found = grown(clock, True)
     assert THERE in found.members._relays()
-    clock.now += PRESENT
+    clock.now += PRESENT_WITHIN
     left = [f"{HERE}-{n}" for n in range(ZONE_SIZE)] + [f"{THERE}-{n}" for n in range(LARGE_ZONE)]
-    found.members.discovery.leases_listed(
+    found.members.discovery.take_leases(
         [
             StoredObject(
                 name, 2 if name in left else 1, {"address": address(name), "zone": name[0]}
@@ -254,34 +256,34 @@
         ]
     )
     assert found.members._relays() == {}
-    assert found.members.duties.count() == len(left)
+    assert found.members.roles.instance_count() == len(left)
 
 
 def test_nobody_watches_for_the_instances_of_a_small_zone(clock: Clock) -> None:
-    assert grown(clock, True, size=LARGE_ZONE).members.duties.watchers() == []
+    assert grown(clock, True, size=LARGE_ZONE).members.roles.watchers() == []
 
 
 def test_a_keeper_without_the_store_is_the_last_to_watch_for_others(clock: Clock) -> None:
     found = grown(clock, False)
-    first, second, third = found.members.duties.watchers()
-    assert {first, second, third} == set(found.members.duties.keepers())
-    found.hear(first, silent=OUT_OF_CONTACT + 0.1)
-    found.hear(second, silent=OUT_OF_CONTACT - 0.1)
-    assert found.members.duties.watchers() == [second, third, first]
-    found.hear(second, silent=OUT_OF_CONTACT + 0.1)
-    found.hear(third, silent=OUT_OF_CONTACT + 0.1)
+    first, second, third = found.members.roles.watchers()
+    assert {first, second, third} == set(found.members.roles.delegates())
+    found.hear(first, silent=STORE_LOST_AFTER + 0.1)
+    found.hear(second, silent=STORE_LOST_AFTER - 0.1)
+    assert found.members.roles.watchers() == [second, third, first]
+    found.hear(second, silent=STORE_LOST_AFTER + 0.1)
+    found.hear(third, silent=STORE_LOST_AFTER + 0.1)
     # Nobody has it: no reason to move.
-    assert found.members.duties.watchers() == [first, second, third]
+    assert found.members.roles.watchers() == [first, second, third]
 
 
 def test_one_that_just_started_is_told_of_its_zone(clock: Clock) -> None:
     seed = grown(clock, True)
     seed.links.sent.clear()
     newcomer = address(f"{THERE}-99")
-    seed.members.discovery.asked(WhoIsThere(f"{THERE}-99", newcomer, THERE))
+    seed.members.discovery.answer_query(PeerQuery(f"{THERE}-99", newcomer, THERE))
     [(to, answer)] = seed.links.sent
     assert to == newcomer
-    assert isinstance(answer, Introduction)
+    assert isinstance(answer, PeerAddresses)
     assert sorted(answer.addresses) == sorted(a for a in map(address, seed.names) if "98" in a)
 
 
@@ -292,16 +294,16 @@
 
 def test_an_introduction_says_that_the_zone_is_large(clock: Clock) -> None:
     found = started(clock)
-    assert not found.members.discovery.is_alone()  # A seed may still answer.
-    clock.now += INTRODUCED + 0.01
-    assert found.members.discovery.is_alone()
+    assert not found.members.discovery.is_zone_small()  # A seed may still answer.
+    clock.now += SEED_REPLY_TIME + 0.01
+    assert found.members.discovery.is_zone_small()
     many = [address(f"{HERE}-{n}") for n in range(1, LARGE_ZONE + 1)]
-    found.members.discovery.introduced(
-        Introduction(HERE, [*many[:-1], "nonsense", "10.0.0.1:99999"])
+    found.members.discovery.take_addresses(
+        PeerAddresses(HERE, [*many[:-1], "nonsense", "10.0.0.1:99999"])
     )
-    assert found.members.discovery.is_alone()
-    found.members.discovery.introduced(Introduction(HERE, many))
-    assert not found.members.discovery.is_alone()
+    assert found.members.discovery.is_zone_small()
+    found.members.discovery.take_addresses(PeerAddresses(HERE, many))
+    assert not found.members.discovery.is_zone_small()
     assert set(many) <= {to for to, _ in sent_by(found)}
 
 
--- a/tests/test_given_up_engines.py
+++ b/tests/test_given_up_engines.py
@@ -20,17 +20,17 @@
 
 def pausing(node: Node, pause: float) -> None:
     """Sets the time without orders that an instance keeps after a takeover."""
-    node._holders._opts = replace(HOLDING, pause=pause)
+    node._engine_ownership._opts = replace(HOLDING, pause=pause)
 
 
 async def dropped(found: World, pause: float) -> None:
     """Lets the engine be held, then leave the list, until its holder has dropped it."""
     [node] = found.nodes
     pausing(node, pause)
-    await found.served("/write/x", adapter="a1")
+    await found.wait_until_served("/write/x", adapter="a1")
     await until_true(lambda: HOLDER in found.store.objects)
     await found.store.delete("servers", "i-llm")
-    await until_true(lambda: not node._holders.held())
+    await until_true(lambda: not node._engine_ownership.owned())
     await asyncio.sleep(0.2)  # A call to the store takes less.
 
 
@@ -41,8 +41,8 @@
         # Back in the list, it is its last holder's again, with a greater fencing number.
         before = found.store.objects[HOLDER]["metadata"]["revision"]
         await found.store.put("servers", "i-llm", found.replicas[0].record())
-        await until_true(lambda: found.nodes[0]._holders.held() == ["i-llm"])
-        assert found.holder("i-llm") == "edge-0"
+        await until_true(lambda: found.nodes[0]._engine_ownership.owned() == ["i-llm"])
+        assert found.recorded_owner("i-llm") == "edge-0"
         assert found.store.objects[HOLDER]["metadata"]["revision"] > before
 
 
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -9,19 +9,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from msgspec.structs import replace
-from wigeonarch_core.holding import Claim, Era, HolderRecord, Observed, claim
+from wigeonarch_core.endpoint_ownership import Claim, EndpointOwner, Era, ObservedLeases, plan_claim
 from wigeonarch_core.lease import HeldLease
-from wigeonarch_core.revisions import era_of, in_era, within_era
+from wigeonarch_core.revisions import era_of, global_revision, store_revision
 
 TERM, MARGIN, PAUSE = 6.0, 0.5, 3.0
 ENDPOINT = "i-1"
 
 
-def observed(*lapsed: str) -> Observed:
-    found = Observed(TERM, MARGIN)
+def observed(*lapsed: str) -> ObservedLeases:
+    found = ObservedLeases(TERM, MARGIN)
     for instance in lapsed:
-        found.read(instance, 5, 0.0)
-        found.read(instance, 5, TERM + MARGIN + 0.1)
+        found.record_read(instance, 5, 0.0)
+        found.record_read(instance, 5, TERM + MARGIN + 0.1)
     return found
 
 
@@ -46,14 +46,16 @@
     lapsed: list[str],
     expected: Claim | None,
 ) -> None:
-    record = HolderRecord(ENDPOINT, holder, 7) if holder else None
-    found = claim(ENDPOINT, record, "me", confirmed, alive, candidates, observed(*lapsed), PAUSE)
+    record = EndpointOwner(ENDPOINT, holder, 7) if holder else None
+    found = plan_claim(
+        ENDPOINT, record, "me", confirmed, alive, candidates, observed(*lapsed), PAUSE
+    )
     assert found == expected
 
 
 def test_a_process_that_resumes_a_fresh_takeover_waits() -> None:
-    record = HolderRecord(ENDPOINT, "me", 7, taken_over=True)
-    found = claim(ENDPOINT, record, "me", False, set(), ["me"], observed(), PAUSE)
+    record = EndpointOwner(ENDPOINT, "me", 7, taken_over=True)
+    found = plan_claim(ENDPOINT, record, "me", False, set(), ["me"], observed(), PAUSE)
     assert found == Claim(ENDPOINT, 7, PAUSE)
 
 
@@ -77,13 +79,13 @@
 
 @pytest.mark.parametrize(("steps", "lapsed"), LAPSES)
 def test_when_a_lease_has_lapsed(steps: list[tuple[str, int, float, float]], lapsed: bool) -> None:
-    found = Observed(TERM, MARGIN)
+    found = ObservedLeases(TERM, MARGIN)
     for what, revision, left, at in steps:
         if what == "t":
-            found.told("b", revision, left, at)
+            found.record_heartbeat("b", revision, left, at)
         else:
-            found.read("b", revision, at)
-    assert found.lapsed("b") is lapsed
+            found.record_read("b", revision, at)
+    assert found.has_lapsed("b") is lapsed
 
 
 # What the store has (holder, of the present era), whether this process keeps it: the claim.
@@ -103,9 +105,9 @@
 def test_claim_after_the_store_came_back_older(
     stored: tuple[str, bool] | None, keeps: bool, expected: Claim | None
 ) -> None:
-    record = HolderRecord(ENDPOINT, stored[0], 7, current=stored[1]) if stored else None
+    record = EndpointOwner(ENDPOINT, stored[0], 7, in_current_era=stored[1]) if stored else None
     args = ("me", False, {"b"}, ["me"], observed(), PAUSE, keeps)
-    assert claim(ENDPOINT, record, *args) == expected
+    assert plan_claim(ENDPOINT, record, *args) == expected
 
 
 @dataclass
@@ -114,7 +116,7 @@
 
     name: str
     lease: HeldLease = field(default_factory=lambda: HeldLease(TERM, MARGIN))
-    seen: Observed = field(default_factory=lambda: Observed(TERM, MARGIN))
+    seen: ObservedLeases = field(default_factory=lambda: ObservedLeases(TERM, MARGIN))
     reaches: bool = True
     frozen: bool = False
     fence: int = 0
@@ -134,9 +136,9 @@
         self.eras = eras
         self.era = 0
         self.revision = 0
-        self.past: list[tuple[int, dict[str, int], HolderRecord | None]] = []
+        self.past: list[tuple[int, dict[str, int], EndpointOwner | None]] = []
         self.leases: dict[str, int] = {}
-        self.record: HolderRecord | None = None
+        self.record: EndpointOwner | None = None
         self.orders: list[tuple[float, str, int]] = []
         self.instances = [Instance("a"), Instance("b")]
         self.pause = pause
@@ -153,10 +155,10 @@
         self.record = record
         if record is not None:
             revision = self._renumbered(record.revision)
-            self.record = replace(record, revision=revision, current=not self.eras)
+            self.record = replace(record, revision=revision, in_current_era=not self.eras)
 
     def _renumbered(self, revision: int) -> int:
-        return in_era(self.era, within_era(revision))
+        return global_revision(self.era, store_revision(revision))
 
     def step(self) -> None:
         self.now += 0.1
@@ -164,7 +166,7 @@
         for inst in self.instances:
             if inst.frozen:
                 continue
-            inst.lease.alive(self.now)
+            inst.lease.record_running(self.now)
             if inst.reaches:
                 self._renew(inst)
                 self._claim(inst)
@@ -175,20 +177,20 @@
             return
         self.revision += 1
         self.leases[inst.name] = self.revision
-        inst.lease.renewed(self.now, self.revision, self.now)
+        inst.lease.record_renewal(self.now, self.revision, self.now)
 
     def _claim(self, inst: Instance) -> None:
-        if not inst.lease.holds(self.now):
+        if not inst.lease.is_valid(self.now):
             return
-        inst.era.saw(self.era, self.now)
+        inst.era.observe(self.era, self.now)
         for other in self.leases:
             if other != inst.name:
-                inst.seen.read(other, self.leases[other], self.now)
+                inst.seen.record_read(other, self.leases[other], self.now)
         keeps = inst.fence > 0 and (
             inst.generation == inst.lease.generation or not self.generations
         )
         confirmed = keeps and era_of(inst.fence) == self.era
-        found = claim(
+        found = plan_claim(
             ENDPOINT,
             self.record,
             inst.name,
@@ -204,18 +206,18 @@
         not_before = self.now + found.pause
         if keeps:
             not_before = max(not_before, inst.not_before)
-        elif not found.settled:
-            not_before = max(not_before, inst.era.settled(TERM, MARGIN, self.pause))
+        elif not found.no_earlier_owner:
+            not_before = max(not_before, inst.era.settled_at(TERM, MARGIN, self.pause))
         self.revision += 1
-        self.record = HolderRecord(ENDPOINT, inst.name, self.revision, not_before > self.now)
+        self.record = EndpointOwner(ENDPOINT, inst.name, self.revision, not_before > self.now)
         inst.fence = self.revision
         inst.generation = inst.lease.generation
         inst.not_before = not_before
 
     def _order(self, inst: Instance) -> None:
         current = inst.generation == inst.lease.generation or not self.generations
-        current = current and not inst.era.unconfirmed(era_of(inst.fence), self.now)
-        if inst.fence and current and inst.lease.holds(self.now) and self.now >= inst.not_before:
+        current = current and not inst.era.must_stop(era_of(inst.fence), self.now)
+        if inst.fence and current and inst.lease.is_valid(self.now) and self.now >= inst.not_before:
             self.orders.append((self.now, inst.name, inst.fence))
 
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -5,19 +5,19 @@
 import msgspec
 import pytest
 from wigeonarch_core.idempotency import (
-    Attempt,
     GivenUp,
+    KeyAttempt,
     KeyState,
     Read,
     Step,
     Taken,
     Told,
     Write,
-    judge,
     may_dispatch,
+    next_step,
     request_digest,
 )
-from wigeonarch_core.key_answers import KEPT_BYTES, answer_of, settled
+from wigeonarch_core.key_answers import MAX_KEPT_BYTES, completed_record, outcome_for
 from wigeonarch_core.key_stamps import expiry, is_purgeable, is_usable, made_at, make_key
 from wigeonarch_core.outcomes import Answered, Failed, NotRun, Outcome, Reason, Unknown
 from wigeonarch_core.records import KeyRecord
@@ -37,8 +37,8 @@
         (None, Step.CREATE),
         (MINE, Step.RUN),
         (state(MINE, KeyState.FREE), Step.TAKE_OVER),
-        (THEIRS, Step.TELL_HELD),
-        (state(THEIRS, KeyState.DONE), Step.TELL_KNOWN),
+        (THEIRS, Step.REPORT_IN_USE),
+        (state(THEIRS, KeyState.DONE), Step.ANSWER_FROM_RECORD),
         (state(THEIRS, KeyState.FREE), Step.TAKE_OVER),
         (OTHER_BODY, Step.MISMATCH),
         (state(OTHER_BODY, KeyState.DONE), Step.MISMATCH),
@@ -46,7 +46,7 @@
     ],
 )
 def test_judge(found: KeyRecord | None, step: Step) -> None:
-    assert judge(found, MINE) is step
+    assert next_step(found, MINE) is step
 
 
 @pytest.mark.parametrize(
@@ -54,8 +54,12 @@
     [
         # The write conflicted with its own silent repetition, or its answer was lost.
         (MINE, 7, Taken(7)),
-        (THEIRS, 7, Told(Step.TELL_HELD, THEIRS)),
-        (state(THEIRS, KeyState.DONE), 7, Told(Step.TELL_KNOWN, state(THEIRS, KeyState.DONE))),
+        (THEIRS, 7, Told(Step.REPORT_IN_USE, THEIRS)),
+        (
+            state(THEIRS, KeyState.DONE),
+            7,
+            Told(Step.ANSWER_FROM_RECORD, state(THEIRS, KeyState.DONE)),
+        ),
         (OTHER_BODY, 7, Told(Step.MISMATCH, OTHER_BODY)),
         (state(THEIRS, KeyState.FREE), 7, Write(7)),
         (None, 0, Write(0)),
@@ -65,28 +69,28 @@
 def test_attempt_reads_back(
     found: KeyRecord | None, version: int, ends: object, lost: bool
 ) -> None:
-    attempt = Attempt(MINE)
-    first: object = attempt.next
+    attempt = KeyAttempt(MINE)
+    first: object = attempt.next_call
     assert first == Write(0)
     if lost:
-        assert attempt.unanswered(maybe=True) is None
+        assert attempt.record_no_answer(may_have_written=True) is None
     else:
-        attempt.refused()
-    second: object = attempt.next
+        attempt.record_conflict()
+    second: object = attempt.next_call
     assert second == Read()
-    taking = attempt.found(found, version)
-    assert (attempt.next if taking is None else taking) == ends
+    taking = attempt.examine(found, version)
+    assert (attempt.next_call if taking is None else taking) == ends
 
 
 def test_attempt_gives_up() -> None:
-    assert Attempt(MINE).unanswered(maybe=False) == GivenUp(doubtful=False)
-    attempt = Attempt(MINE)
-    assert attempt.unanswered(maybe=True) is None
-    assert attempt.unreadable() == GivenUp(doubtful=True)
-    attempt = Attempt(MINE)
+    assert KeyAttempt(MINE).record_no_answer(may_have_written=False) == GivenUp(doubtful=False)
+    attempt = KeyAttempt(MINE)
+    assert attempt.record_no_answer(may_have_written=True) is None
+    assert attempt.record_unreadable() == GivenUp(doubtful=True)
+    attempt = KeyAttempt(MINE)
     for _ in range(100):
-        attempt.refused()
-        taking = attempt.found(None, 0)
+        attempt.record_conflict()
+        taking = attempt.examine(None, 0)
         if taking is not None:
             break
     assert taking == GivenUp(doubtful=False)
@@ -97,34 +101,34 @@
     [
         (Answered("text", 3, "length", "v1"), Answered("text", 3, "length", "v1")),
         (Failed(Reason.ENDPOINT_ERROR, 500, "no"), Failed(Reason.ENDPOINT_ERROR, 500, "no")),
-        (Answered("x" * KEPT_BYTES), Unknown(Reason.ANSWER_NOT_KEPT)),
+        (Answered("x" * MAX_KEPT_BYTES), Unknown(Reason.ANSWER_NOT_KEPT)),
         # Six bytes each in JSON: what counts is the size of the object that is written.
-        (Answered("\x01" * (KEPT_BYTES // 4)), Unknown(Reason.ANSWER_NOT_KEPT)),
+        (Answered("\x01" * (MAX_KEPT_BYTES // 4)), Unknown(Reason.ANSWER_NOT_KEPT)),
     ],
 )
 def test_a_repetition_is_told_the_first_outcome(outcome: Outcome, told: Outcome) -> None:
-    record = settled(MINE, outcome, getattr(outcome, "version", ""))
+    record = completed_record(MINE, outcome, getattr(outcome, "version", ""))
     assert record is not None
     read = msgspec.json.decode(msgspec.json.encode(record), type=KeyRecord)
-    assert answer_of(Told(judge(read, THEIRS), read)) == told
+    assert outcome_for(Told(next_step(read, THEIRS), read)) == told
 
 
 def test_what_frees_a_key() -> None:
-    freed = settled(MINE, NotRun(Reason.NO_ENDPOINT, 1.0))
+    freed = completed_record(MINE, NotRun(Reason.NO_ENDPOINT, 1.0))
     assert freed is not None
     assert freed.state == KeyState.FREE
-    assert settled(MINE, Unknown(Reason.SILENT)) is None
+    assert completed_record(MINE, Unknown(Reason.SILENT)) is None
 
 
 @pytest.mark.parametrize(
     ("step", "record", "outcome"),
     [
-        (Step.TELL_HELD, THEIRS, Unknown(Reason.KEY_IN_USE)),
+        (Step.REPORT_IN_USE, THEIRS, Unknown(Reason.KEY_IN_USE)),
         (Step.MISMATCH, OTHER_BODY, NotRun(Reason.KEY_MISMATCH)),
     ],
 )
 def test_told_without_an_answer(step: Step, record: KeyRecord, outcome: Outcome) -> None:
-    assert answer_of(Told(step, record)) == outcome
+    assert outcome_for(Told(step, record)) == outcome
 
 
 def test_digest_separates_its_parts() -> None:
--- a/tests/test_lease_memory.py
+++ b/tests/test_lease_memory.py
@@ -10,27 +10,27 @@
 import pytest
 from gateway_world import HOLDING, until
 from standins.store import StoreStandIn
-from wigeonarch_gateway.leasing import Identity, Leasing, Memory
-from wigeonarch_gateway.suspects import EndsByContent
+from wigeonarch_gateway.leasing import CrashMemory, Identity, OwnLease
+from wigeonarch_gateway.suspects import CrashesByContent
 from wigeonarch_platform.store import Store
 
-KEPT: EndsByContent = [("x", ["e1@1", "e2@1"])]
+KEPT: CrashesByContent = [("x", ["e1@1", "e2@1"])]
 
 
 @dataclass
 class Kept:
     """What should be kept, and what was read."""
 
-    notable: EndsByContent = field(default_factory=list)
-    read: EndsByContent = field(default_factory=list)
+    notable: CrashesByContent = field(default_factory=list)
+    read: CrashesByContent = field(default_factory=list)
 
 
 @asynccontextmanager
 async def leasing(
     store: StoreStandIn, kept: Kept, incarnation: str, needed: bool
-) -> AsyncIterator[Leasing]:
+) -> AsyncIterator[OwnLease]:
     client = Store(store.address)
-    found = Leasing(
+    found = OwnLease(
         client,
         HOLDING,
         Identity("edge-0", incarnation, "127.0.0.1:1", "a"),
@@ -38,9 +38,9 @@
         lambda: ["edge-1"],
         lambda: needed,
         _never_seen,
-        Memory(lambda: kept.notable, kept.read.extend),
+        CrashMemory(lambda: kept.notable, kept.read.extend),
     )
-    task = asyncio.create_task(found.keep())
+    task = asyncio.create_task(found.keep_renewed())
     try:
         yield found
     finally:
@@ -53,7 +53,7 @@
     return 0
 
 
-def in_store(store: StoreStandIn) -> EndsByContent:
+def in_store(store: StoreStandIn) -> CrashesByContent:
     found = store.objects.get(("wigeonarch-leases", "edge-0"))
     if found is None:
         return []
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 from wigeonarch_core.admission import Admission
-from wigeonarch_core.circuit import PAUSE_MOST, Circuits, State
+from wigeonarch_core.circuit import MAX_PAUSE, CircuitBreakers, State
 from wigeonarch_core.outcomes import Reason
 from wigeonarch_core.retry import RetryBudget, full_jitter
 
@@ -23,24 +23,24 @@
 def test_retry_budget(share: float, reserve: float, fresh: int, tried: int, allowed: int) -> None:
     budget = RetryBudget(share, reserve)
     for _ in range(fresh):
-        budget.fresh("drafting")
-    assert sum(budget.spend("drafting") for _ in range(tried)) == allowed
+        budget.record_request("drafting")
+    assert sum(budget.try_spend("drafting") for _ in range(tried)) == allowed
 
 
 def test_retry_budget_in_the_long_run_is_the_share() -> None:
     budget = RetryBudget(0.2, 10.0)
     spent = 0
     for _ in range(10_000):
-        budget.fresh("drafting")
-        spent += budget.spend("drafting")
+        budget.record_request("drafting")
+        spent += budget.try_spend("drafting")
     assert 2000 <= spent <= 2010
 
 
 def test_retry_budget_is_per_service() -> None:
     budget = RetryBudget(0.2, 1.0)
-    assert budget.spend("drafting")
-    assert not budget.spend("drafting")
-    assert budget.spend("orders")
+    assert budget.try_spend("drafting")
+    assert not budget.try_spend("drafting")
+    assert budget.try_spend("orders")
 
 
 @pytest.mark.parametrize(("attempt", "bound"), [(0, 0.1), (1, 0.2), (3, 0.8), (10, 1.0)])
@@ -69,34 +69,34 @@
 
 @pytest.mark.parametrize(("steps", "state", "allows"), CIRCUIT_CASES)
 def test_circuit(steps: str, state: State, allows: bool) -> None:
-    circuits = Circuits(Random(1))
+    circuits = CircuitBreakers(Random(1))
     now = 100.0
     for step in steps:
         if step == "f":
-            circuits.failed("engine", now)
+            circuits.record_failure("engine", now)
         elif step == "s":
-            circuits.succeeded("engine")
+            circuits.record_success("engine")
         elif step == "c":
-            circuits.calling("engine", now)
+            circuits.begin_call("engine", now)
         else:
-            now += PAUSE_MOST
+            now += MAX_PAUSE
     assert circuits.state("engine") is state
     assert circuits.allows("engine", now) is allows
     assert (circuits.retry_after("engine", now) == 0.0) is allows
 
 
 def test_circuit_pauses_grow_and_stay_bounded() -> None:
-    circuits = Circuits(Random(1))
+    circuits = CircuitBreakers(Random(1))
     now, pauses = 0.0, []
     for _ in range(3):
-        circuits.failed("engine", now)
+        circuits.record_failure("engine", now)
     for _ in range(12):
         pauses.append(circuits.retry_after("engine", now))
-        now += PAUSE_MOST
-        circuits.calling("engine", now)
-        circuits.failed("engine", now)
+        now += MAX_PAUSE
+        circuits.begin_call("engine", now)
+        circuits.record_failure("engine", now)
     assert pauses[0] < 0.6
-    assert PAUSE_MOST / 2 <= max(pauses) <= PAUSE_MOST
+    assert MAX_PAUSE / 2 <= max(pauses) <= MAX_PAUSE
 
 
 ADMISSION_CASES = [
@@ -115,13 +115,13 @@
 @pytest.mark.parametrize(("places", "entries", "last"), ADMISSION_CASES)
 def test_admission(places: int, entries: str, last: Reason | None) -> None:
     admission = Admission(places)
-    refusals = [admission.enter(caller) for caller in entries]
+    refusals = [admission.try_admit(caller) for caller in entries]
     assert refusals[-1] == last
 
 
 def test_admission_gives_places_back() -> None:
     admission = Admission(2)
     for _ in range(100):
-        assert admission.enter("a") is None
-        admission.leave("a")
-    assert admission.taken == admission.held("a") == 0
+        assert admission.try_admit("a") is None
+        admission.release("a")
+    assert admission.in_progress == admission.count_of("a") == 0
--- a/tests/test_limits_of_endpoints.py
+++ b/tests/test_limits_of_endpoints.py
@@ -8,8 +8,8 @@
 
 import pytest
 from wigeonarch_gateway import limits as module
-from wigeonarch_gateway.limits import Limits
-from wigeonarch_gateway.messages import LimitNamed, Message, PermitAnswer, PermitAsk
+from wigeonarch_gateway.limits import EndpointLimits
+from wigeonarch_gateway.messages import Message, PermitReply, PermitRequest, RateLimitUpdate
 from wigeonarch_gateway.metrics import Metrics
 from wigeonarch_gateway.ports import EndpointRecord, EndpointState
 
@@ -30,7 +30,7 @@
     now: float = 1000.0
     limiter: Callable[[str], str] = lambda me: "i0"
     cut: set[str] = field(default_factory=set)
-    limits: dict[str, Limits] = field(default_factory=dict)
+    limits: dict[str, EndpointLimits] = field(default_factory=dict)
     mail: list[tuple[str, Message]] = field(default_factory=list)
     arrivals: list[float] = field(default_factory=list)
 
@@ -40,7 +40,7 @@
 
     def start(self, name: str) -> None:
         """Starts an instance, or starts it anew."""
-        self.limits[name] = Limits(
+        self.limits[name] = EndpointLimits(
             name,
             lambda endpoint: self.limiter(name),
             lambda to, message: self._send(name, to, message),
@@ -69,13 +69,13 @@
         for name, message in mail:
             _deliver(self.limits[name], message)
         for limits in self.limits.values():
-            if self.draw.random() < eager and limits.wait("e1", self.now) == 0.0:
+            if self.draw.random() < eager and limits.permit_wait("e1", self.now) == 0.0:
                 self._request(limits, rate)
 
-    def _request(self, limits: Limits, rate: float | None) -> None:
-        if limits.spend("e1", self.now):
+    def _request(self, limits: EndpointLimits, rate: float | None) -> None:
+        if limits.take_permit("e1", self.now):
             self.arrivals.append(self.now)
-            limits.noted(ENDPOINT, rate, self.now)
+            limits.record_limit(ENDPOINT, rate, self.now)
 
     def most(self, since: float) -> int:
         """Returns the most arrivals in any window that begins after a time."""
@@ -83,14 +83,14 @@
         return max((sum(at <= t < at + WINDOW for t in times) for at in times), default=0)
 
 
-def _deliver(limits: Limits, message: Message) -> None:
+def _deliver(limits: EndpointLimits, message: Message) -> None:
     match message:
-        case LimitNamed():
-            limits.told(message)
-        case PermitAsk():
-            limits.asked(message)
-        case PermitAnswer():
-            limits.answered(message)
+        case RateLimitUpdate():
+            limits.receive_limit(message)
+        case PermitRequest():
+            limits.receive_request(message)
+        case PermitReply():
+            limits.receive_reply(message)
 
 
 @pytest.fixture(autouse=True)
@@ -145,8 +145,8 @@
     found.cut = {"i2"}
     for _ in range(200):
         found.step(1.0, 0.0)
-    assert found.limits["i2"].wait("e1", found.now) > 0.0
-    assert not found.limits["i2"].spend("e1", found.now)
+    assert found.limits["i2"].permit_wait("e1", found.now) > 0.0
+    assert not found.limits["i2"].take_permit("e1", found.now)
 
 
 def test_who_asks_the_wrong_instance_is_told_the_right_one(clock: list[Fleet]) -> None:
@@ -155,26 +155,26 @@
     for _ in range(100):
         found.step(5.0, 0.0)
         for limits in found.limits.values():
-            limits.told(LimitNamed("i9", "e1", 5.0))
+            limits.receive_limit(RateLimitUpdate("i9", "e1", 5.0))
     for _ in range(200):
-        found.limits["i2"].wait("e1", found.now)
+        found.limits["i2"].permit_wait("e1", found.now)
         found.step(5.0, 0.0)
-    assert found.limits["i2"].spend("e1", found.now)
+    assert found.limits["i2"].take_permit("e1", found.now)
 
 
 def test_a_permit_is_void_after_its_time(clock: list[Fleet]) -> None:
     found = fleet(clock, 2, 1)
     for limits in found.limits.values():
-        limits.told(LimitNamed("i9", "e1", 5.0))
+        limits.receive_limit(RateLimitUpdate("i9", "e1", 5.0))
     for _ in range(40):
-        found.limits["i0"].wait("e1", found.now)
+        found.limits["i0"].permit_wait("e1", found.now)
         found.step(5.0, 0.0)
-    found.limits["i1"].wait("e1", found.now)
+    found.limits["i1"].permit_wait("e1", found.now)
     for _ in range(3):
         found.step(5.0, 0.0)
-    assert found.limits["i1"].wait("e1", found.now) == 0.0
+    assert found.limits["i1"].permit_wait("e1", found.now) == 0.0
     found.now += 1.0
-    assert not found.limits["i1"].spend("e1", found.now)
+    assert not found.limits["i1"].take_permit("e1", found.now)
 
 
 @pytest.mark.parametrize(("sent", "over"), [(-1.0, False), (1.0, True)])
@@ -183,10 +183,10 @@
 ) -> None:
     found = fleet(clock, 2, 1)
     limits = found.limits["i1"]
-    limits.noted(ENDPOINT, 1.0, found.now)
+    limits.record_limit(ENDPOINT, 1.0, found.now)
     found.now += 2.0
-    limits.noted(ENDPOINT, None, found.now - 2.0 + sent)
-    assert (limits.wait("e1", found.now) == 0.0) is over
+    limits.record_limit(ENDPOINT, None, found.now - 2.0 + sent)
+    assert (limits.permit_wait("e1", found.now) == 0.0) is over
 
 
 def test_a_limit_that_is_over_is_over_for_all(clock: list[Fleet]) -> None:
@@ -195,19 +195,19 @@
         found.step(3.0, 0.2)
     for _ in range(300):
         found.step(None, 0.2)
-    assert all(limits.wait("e1", found.now) == 0.0 for limits in found.limits.values())
+    assert all(limits.permit_wait("e1", found.now) == 0.0 for limits in found.limits.values())
 
 
 def test_an_endpoint_that_starts_again_has_no_limit(clock: list[Fleet]) -> None:
     found = fleet(clock, 2, 1)
-    found.limits["i1"].told(LimitNamed("i0", "e1", 1.0))
-    assert found.limits["i1"].wait("e1", found.now) > 0.0
+    found.limits["i1"].receive_limit(RateLimitUpdate("i0", "e1", 1.0))
+    assert found.limits["i1"].permit_wait("e1", found.now) > 0.0
     found.limits["i1"].forget("e1")
-    assert found.limits["i1"].wait("e1", found.now) == 0.0
+    assert found.limits["i1"].permit_wait("e1", found.now) == 0.0
 
 
 def test_one_that_was_told_nothing_by_the_endpoint_hears_of_the_limit(clock: list[Fleet]) -> None:
     found = fleet(clock, 3, 1)
-    found.limits["i1"].noted(ENDPOINT, 1.0, found.now)
+    found.limits["i1"].record_limit(ENDPOINT, 1.0, found.now)
     found.step(1.0, 0.0)
-    assert all(limits.wait("e1", found.now) > 0.0 for limits in found.limits.values())
+    assert all(limits.permit_wait("e1", found.now) > 0.0 for limits in found.limits.values())
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from wigeonarch_core.listing import Listed, ListNews, Presence, Role, SharedList, pause
+from wigeonarch_core.listing import Listed, ListUpdate, Presence, Role, SharedList, read_interval
 
 A = Listed("a", "127.0.0.1:1", "zone-a", Role.ENGINE, "drafting")
 B = Listed("b", "127.0.0.1:2", "zone-a", Role.ENGINE, "drafting")
@@ -13,24 +13,24 @@
 READ_CASES = [
     # Known before, list read now, what peers are told.
     ([A, B], [A, B], None),
-    ([A, B], [A, B_LEAVES], ListNews("me", (B_LEAVES,), (), 0.1)),
-    ([A, B], [A], ListNews("me", (), ("b",), 0.1)),
-    ([A], [A, C], ListNews("me", (C,), (), 0.1)),
-    ([A, B], [C], ListNews("me", (C,), ("a", "b"), 0.1)),
+    ([A, B], [A, B_LEAVES], ListUpdate("me", (B_LEAVES,), (), 0.1)),
+    ([A, B], [A], ListUpdate("me", (), ("b",), 0.1)),
+    ([A], [A, C], ListUpdate("me", (C,), (), 0.1)),
+    ([A, B], [C], ListUpdate("me", (C,), ("a", "b"), 0.1)),
 ]
 
 
 @pytest.mark.parametrize(("before", "now", "news"), READ_CASES)
 def test_reading_tells_what_differs(
-    before: list[Listed], now: list[Listed], news: ListNews | None
+    before: list[Listed], now: list[Listed], news: ListUpdate | None
 ) -> None:
     shared = SharedList()
-    assert shared.read("me", before, 0.1) is None
-    assert shared.read("me", now, 0.1) == news
+    assert shared.replace("me", before, 0.1) is None
+    assert shared.replace("me", now, 0.1) == news
     peer = SharedList()
-    peer.read("peer", before, 0.1)
+    peer.replace("peer", before, 0.1)
     if news is not None:
-        assert peer.heard(news)
+        assert peer.apply(news)
     assert peer.items == shared.items
 
 
@@ -46,8 +46,8 @@
 def test_news_that_was_held_up_is_not_used(read: bool, age: float, used: bool) -> None:
     shared = SharedList()
     if read:
-        shared.read("me", [A], 0.1)
-    assert shared.heard(ListNews("peer", (C,), (), age)) is used
+        shared.replace("me", [A], 0.1)
+    assert shared.apply(ListUpdate("peer", (C,), (), age)) is used
     assert ("c" in shared.items) is used
 
 
@@ -55,4 +55,4 @@
     ("interval", "peers", "expected"), [(1.0, 0, 1.0), (1.0, 1, 2.0), (2.0, 33, 60.0)]
 )
 def test_pause_grows_with_the_zone(interval: float, peers: int, expected: float) -> None:
-    assert pause(interval, peers) == expected
+    assert read_interval(interval, peers) == expected
--- a/tests/test_load_pace.py
+++ b/tests/test_load_time.py
@@ -5,15 +5,15 @@
 import random
 
 import pytest
-from wigeonarch_core.load_pace import AT_ONCE, COLD_LOAD, LoadPace
+from wigeonarch_core.load_time import COLD_LOAD, INITIAL_CONCURRENCY, LoadTimeEstimate
 
 
 def test_loads_beyond_those_at_once_take_longer() -> None:
-    pace = LoadPace()
-    assert pace.expected(False, 0) == COLD_LOAD
-    assert pace.expected(False, 7) == COLD_LOAD
-    assert pace.expected(False, 15) == 2 * COLD_LOAD
-    assert pace.expected(True, 15) < COLD_LOAD / 2
+    pace = LoadTimeEstimate()
+    assert pace.expected_seconds(False, 0) == COLD_LOAD
+    assert pace.expected_seconds(False, 7) == COLD_LOAD
+    assert pace.expected_seconds(False, 15) == 2 * COLD_LOAD
+    assert pace.expected_seconds(True, 15) < COLD_LOAD / 2
 
 
 def truth(time: float, at_once: int, under_way: int) -> float:
@@ -23,29 +23,32 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize(("time", "at_once"), [(0.25, 8), (0.29, 48), (0.29, 64), (0.4, 20)])
 def test_expectations_come_near_to_a_stores_times(time: float, at_once: int, seed: int) -> None:
-    rng, pace = random.Random(seed), LoadPace()
+    rng, pace = random.Random(seed), LoadTimeEstimate()
     ratios = []
     for number in range(600):
         under_way = rng.randrange(0, 2 * at_once)
-        expected = pace.expected(False, under_way)
+        expected = pace.expected_seconds(False, under_way)
         takes = truth(time, at_once, under_way)
-        (pace.in_time if takes <= expected + 0.012 else pace.late)(under_way)
+        (pace.record_on_time if takes <= expected + 0.012 else pace.record_late)(under_way)
         if number >= 300:
             ratios.append(expected / takes)
     assert 0.85 < sum(ratios) / len(ratios) < 1.15
 
 
 def test_a_store_with_room_is_found_out_within_seconds() -> None:
-    pace = LoadPace()
+    pace = LoadTimeEstimate()
     for _ in range(20):
-        pace.in_time(40)
-    assert pace.at_once > 40
+        pace.record_on_time(40)
+    assert pace.concurrency > 40
 
 
 def test_a_store_like_the_first_keeps_its_number() -> None:
-    pace = LoadPace()
+    pace = LoadTimeEstimate()
     for _ in range(200):
         under_way = 9
-        late = truth(COLD_LOAD, int(AT_ONCE), under_way) > pace.expected(False, under_way) + 0.012
-        (pace.late if late else pace.in_time)(under_way)
-    assert 0.8 * AT_ONCE < pace.at_once < 1.25 * AT_ONCE
+        late = (
+            truth(COLD_LOAD, int(INITIAL_CONCURRENCY), under_way)
+            > pace.expected_seconds(False, under_way) + 0.012
+        )
+        (pace.record_late if late else pace.record_on_time)(under_way)
+    assert 0.8 * INITIAL_CONCURRENCY < pace.concurrency < 1.25 * INITIAL_CONCURRENCY
--- a/tests/test_machine_ownership.py
+++ b/tests/test_machine_ownership.py
@@ -25,9 +25,9 @@
         def __init__(self) -> None:
             super().__init__()
             self.world = World(mutation, checks_fence=checks_fence)
-            self.world.work(12.0)
-            self.world.bring_orders()
-            self.world.work(1.0)
+            self.world.run(12.0)
+            self.world.deliver_orders()
+            self.world.run(1.0)
 
         @rule(name=NAMES, wanted=WANTED, lasting=LASTING, seconds=SECONDS, reports=st.booleans())
         def work_goes_on(
@@ -41,12 +41,12 @@
             process = self.world.processes[name]
             for target in wanted:
                 if not process.frozen:
-                    process.ask(target, lasting)
-            self.world.work(seconds, reports=reports)
+                    process.start_request(target, lasting)
+            self.world.run(seconds, reports=reports)
 
         @rule(name=NAMES)
         def one_is_frozen_with_all_in_hand(self, name: str) -> None:
-            self.world.processes[name].stall()
+            self.world.processes[name].decide_and_freeze()
 
         @rule(name=NAMES)
         def one_is_thawed(self, name: str) -> None:
@@ -58,7 +58,7 @@
 
         @rule(name=NAMES)
         def one_loses_or_regains_the_platform(self, name: str) -> None:
-            self.world.cut ^= {name}
+            self.world.cut_off ^= {name}
 
         @rule(name=NAMES)
         def ones_messages_are_held_up_or_not(self, name: str) -> None:
@@ -67,20 +67,20 @@
         @rule(fate=st.sampled_from(["late", "lost", "doubled"]))
         def held_up_messages_are(self, fate: str) -> None:
             if fate == "lost":
-                self.world.late.clear()
+                self.world.delayed.clear()
             elif fate == "doubled":
-                self.world.late *= 2
-            self.world.bring_late()
+                self.world.delayed *= 2
+            self.world.deliver_delayed()
 
         @rule()
         def orders_arrive(self) -> None:
-            self.world.bring_orders()
+            self.world.deliver_orders()
 
         @rule(wanted=st.sampled_from(TARGETS))
         def requests_end(self, wanted: AdapterVersion) -> None:
             running = self.world.engine.running
             for name in [name for name, used in running.items() if used[0] == wanted]:
-                self.world.finish(name)
+                self.world.finish_request(name)
 
         @rule()
         def the_engine_restarts(self) -> None:
@@ -90,7 +90,7 @@
 
         @invariant()
         def nothing_in_use_was_evicted(self) -> None:
-            assert not self.world.engine.harm, self.world.engine.harm
+            assert not self.world.engine.violations, self.world.engine.violations
 
     return Ownership
 
--- a/tests/test_missing_endpoints.py
+++ b/tests/test_missing_endpoints.py
@@ -26,11 +26,11 @@
 
 async def test_peers_tell_that_the_store_was_there() -> None:
     # Nothing else ends what is kept.
-    await left_while_some_were_away(replace(STORE, returned=KEPT, contact=2 * KEPT))
+    await left_while_some_were_away(replace(STORE, return_time=KEPT, contact=2 * KEPT))
 
 
 async def test_what_left_while_some_were_without_the_store_is_not_kept() -> None:
-    await left_while_some_were_away(replace(STORE, returned=KEPT))
+    await left_while_some_were_away(replace(STORE, return_time=KEPT))
 
 
 async def left_while_some_were_away(store: StoreOptions) -> None:
@@ -38,16 +38,16 @@
         await until_true(lambda: all(node._endpoints.get("i-desk") for node in found.nodes))
         # One watches for all; who could follow another in its place would miss nothing.
         await until_true(lambda: sum(n._sharing.following != "" for n in found.nodes) == 7)
-        names = found.nodes[0]._members.duties.keepers()
+        names = found.nodes[0]._members.roles.delegates()
         cut = [node for node in found.nodes if node._opts.instance in names]
         others = [node for node in found.nodes if node not in cut]
         cut.append(others.pop())
         addresses = [cut_from_store(node) for node in cut]
-        await until_true(lambda: all(node._state.away for node in cut))
+        await until_true(lambda: all(node._store_state.is_away for node in cut))
         await asyncio.sleep(OUTAGE)
         await found.store.delete("servers", "i-desk")
         await until_true(lambda: all(n._endpoints.get("i-desk") is None for n in others))
         for node, address in zip(cut, addresses, strict=True):
             node._store._store._base = address  # type: ignore[attr-defined]
-        await until_true(lambda: not any(node._state.away for node in cut))
+        await until_true(lambda: not any(node._store_state.is_away for node in cut))
         await until_true(lambda: all(node._endpoints.get("i-desk") is None for node in cut))
--- a/tests/test_ownership_faults.py
+++ b/tests/test_ownership_faults.py
@@ -9,7 +9,7 @@
 
 import pytest
 from ownership_world import RATES, TARGETS, Mutation, Process, World
-from wigeonarch_core.messages import Ask, Granted
+from wigeonarch_core.messages import Granted, GrantRequest
 
 X, Y, Z = TARGETS
 LONG = 25.0
@@ -20,36 +20,36 @@
 
     def __init__(self, mutation: Mutation, *, checks_fence: bool = False) -> None:
         self.world = World(mutation, checks_fence=checks_fence)
-        self.world.work(9.0)
-        self.world.bring_orders()
-        self.world.work(1.0)
+        self.world.run(9.0)
+        self.world.deliver_orders()
+        self.world.run(1.0)
         self.slow, self.mean, self.fast = (self.world.processes[name] for name in RATES)
-        assert self.slow.custody is not None
+        assert self.slow.grants is not None
 
     def keep_busy(self, asker: Process) -> None:
         """Has y used for long, so that x is the copy that can go."""
-        asker.ask(Y, LONG)
-        self.world.work(0.5)
+        asker.start_request(Y, LONG)
+        self.world.run(0.5)
 
     def acts(self, process: Process) -> None:
         """Lets one process act a few times, and its messages arrive."""
         for _ in range(3):
-            process.tick()
-            self.world.flow()
+            process.run_duties()
+            self.world.deliver_messages()
 
     def both_act(self) -> None:
         """Lets the new owner grant x, then the last one be asked for z."""
         self.fast.read_report()
-        self.fast.ask(X, LONG)
+        self.fast.start_request(X, LONG)
         self.acts(self.fast)
-        self.slow.ask(Z, LONG)
-        self.world.flow()
+        self.slow.start_request(Z, LONG)
+        self.world.deliver_messages()
         self.acts(self.slow)
 
     def one_takes_over(self, seconds: float) -> Process:
         """Lets time pass without reports; returns who owns the engine then."""
-        self.world.work(seconds, reports=False)
-        owners = [p for p in (self.mean, self.fast) if p.custody is not None]
+        self.world.run(seconds, reports=False)
+        owners = [p for p in (self.mean, self.fast) if p.grants is not None]
         assert len(owners) == 1
         return owners[0]
 
@@ -58,12 +58,12 @@
     """The owner is frozen with an eviction in hand and thawed after x was granted anew."""
     history = History(mutation)
     history.keep_busy(history.mean)
-    history.slow.ask(Z, LONG)
-    history.world.flow()
-    history.slow.stall()
+    history.slow.start_request(Z, LONG)
+    history.world.deliver_messages()
+    history.slow.decide_and_freeze()
     history.one_takes_over(9.0).read_report()
-    history.mean.ask(X, LONG)
-    history.world.work(1.5, reports=False)
+    history.mean.start_request(X, LONG)
+    history.world.run(1.5, reports=False)
     assert any(used[0] == X for used in history.world.engine.running.values())
     history.slow.thaw()
     return history.world
@@ -74,20 +74,20 @@
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
-    world.cut.update({"slow", "fast"})
+    world.cut_off.update({"slow", "fast"})
     world.muted.update({"slow", "fast"})
-    world.work(4.0)
-    history.fast.ask(X, LONG)
-    world.flow()
-    world.bring_late(Ask)
-    history.slow.decide()
-    world.flow()
+    world.run(4.0)
+    history.fast.start_request(X, LONG)
+    world.deliver_messages()
+    world.deliver_delayed(GrantRequest)
+    history.slow.decide_actions()
+    world.deliver_messages()
     new = history.one_takes_over(4.0)
     new.read_report()
-    world.bring_late(Granted)
-    new.ask(Z, LONG)
-    world.flow()
-    new.tick()
+    world.deliver_delayed(Granted)
+    new.start_request(Z, LONG)
+    world.deliver_messages()
+    new.run_duties()
     return world
 
 
@@ -96,20 +96,20 @@
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
-    world.cut.update({"slow", "fast"})
+    world.cut_off.update({"slow", "fast"})
     world.muted.update({"slow", "fast"})
-    history.fast.ask(X, LONG)
-    world.flow()
-    world.bring_late(Ask)
-    history.slow.decide()
-    world.flow()
-    history.slow.stall()
+    history.fast.start_request(X, LONG)
+    world.deliver_messages()
+    world.deliver_delayed(GrantRequest)
+    history.slow.decide_actions()
+    world.deliver_messages()
+    history.slow.decide_and_freeze()
     new = history.one_takes_over(9.0)
-    world.work(8.0)
-    world.bring_late(Granted)
-    new.ask(Z, LONG)
-    world.flow()
-    new.tick()
+    world.run(8.0)
+    world.deliver_delayed(Granted)
+    new.start_request(Z, LONG)
+    world.deliver_messages()
+    new.run_duties()
     return world
 
 
@@ -118,22 +118,22 @@
     history = History(mutation, checks_fence=True)
     world = history.world
     history.keep_busy(history.mean)
-    history.slow.ask(Z, LONG)
-    world.flow()
-    history.slow.tick()
-    world.flow()
-    history.slow.tick()
-    old = [order for order in world.orders if order.victim is not None]
+    history.slow.start_request(Z, LONG)
+    world.deliver_messages()
+    history.slow.run_duties()
+    world.deliver_messages()
+    history.slow.run_duties()
+    old = [order for order in world.pending_orders if order.victim is not None]
     assert old
-    history.slow.stall()
+    history.slow.decide_and_freeze()
     history.one_takes_over(9.0).read_report()
-    world.orders = [order for order in world.orders if order not in old]
-    world.bring_orders()
-    history.mean.ask(X, LONG)
-    world.work(1.0)
+    world.pending_orders = [order for order in world.pending_orders if order not in old]
+    world.deliver_orders()
+    history.mean.start_request(X, LONG)
+    world.run(1.0)
     assert any(used[0] == X for used in world.engine.running.values())
-    world.orders = old
-    world.bring_orders()
+    world.pending_orders = old
+    world.deliver_orders()
     return world
 
 
@@ -142,14 +142,14 @@
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
-    world.cut.update({"slow", "mean"})
+    world.cut_off.update({"slow", "mean"})
     world.muted.add("slow")
-    while history.fast.custody is None:
+    while history.fast.grants is None:
         world.advance(0.05)
         for process in world.processes.values():
-            process.lease.alive(process.now)
-        history.fast.tick()
-        world.flow()
+            process.lease.record_running(process.now)
+        history.fast.run_duties()
+        world.deliver_messages()
     history.both_act()
     return world
 
@@ -159,19 +159,19 @@
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
-    world.cut.update({"slow", "mean"})
+    world.cut_off.update({"slow", "mean"})
     world.muted.add("slow")
     while not history.fast.frozen:
         world.advance(0.1)
         for process in world.processes.values():
-            process.lease.alive(process.now)
-        history.fast.decide()
-        history.fast.frozen = any("write_claim" in str(act) for act in history.fast.hands)
+            process.lease.record_running(process.now)
+        history.fast.decide_actions()
+        history.fast.frozen = any("write_claim" in str(act) for act in history.fast.pending_actions)
         if not history.fast.frozen:
-            history.fast.act()
-    world.cut.clear()
-    history.slow.tick()
-    world.cut.add("slow")
+            history.fast.run_pending_actions()
+    world.cut_off.clear()
+    history.slow.run_duties()
+    world.cut_off.add("slow")
     history.fast.thaw()
     history.both_act()
     return world
@@ -182,15 +182,15 @@
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
-    world.cut.update(RATES)
-    world.work(12.0)
-    assert history.slow.lease.holds(history.slow.now)
-    world.cut.discard("fast")
-    world.work(1.0, reports=False)
+    world.cut_off.update(RATES)
+    world.run(12.0)
+    assert history.slow.lease.is_valid(history.slow.now)
+    world.cut_off.discard("fast")
+    world.run(1.0, reports=False)
     history.fast.read_report()
-    history.fast.ask(X, LONG)
+    history.fast.start_request(X, LONG)
     history.acts(history.fast)
-    history.slow.ask(Z, LONG)
+    history.slow.start_request(Z, LONG)
     history.acts(history.slow)
     return world
 
@@ -208,7 +208,7 @@
 
 @pytest.mark.parametrize("history", HISTORIES, ids=lambda each: str(each.__name__))
 def test_holds_with_every_mechanism(history: Callable[[Mutation], World]) -> None:
-    assert not history(Mutation()).engine.harm
+    assert not history(Mutation()).engine.violations
 
 
 @pytest.mark.parametrize(
@@ -217,4 +217,4 @@
 def test_fails_without_the_mechanism(
     history: Callable[[Mutation], World], mutation: Mutation
 ) -> None:
-    assert history(mutation).engine.harm
+    assert history(mutation).engine.violations
--- a/tests/test_pausing.py
+++ b/tests/test_pausing.py
@@ -13,7 +13,7 @@
 import pytest
 from engine_states import IDLE
 from msgspec.structs import replace
-from wigeonarch_core.engine_choice import READ_RATE, EngineState, choose, stalls
+from wigeonarch_core.engine_choice import PREFILL_RATE, EngineState, choose_engine, stall_ratio
 
 STEP = 0.0045  # Seconds of a step without a prompt.
 PIECE = 4096  # Prompt tokens that are read in one step, at most.
@@ -101,7 +101,7 @@
             for name in holders:
                 engines[name].play(now)
             states = [engines[name].state(now, heeded) for name in holders]
-            choice = choose(states, prompt)
+            choice = choose_engine(states, prompt)
             assert choice is not None
             held.remove(one)
             if choice.crowded and now - since < HELD_BACK:
@@ -129,13 +129,13 @@
     ("recent", "running", "crowded"),
     [
         (0.0, 10, False),
-        (0.5 * ALLOWED * READ_RATE, 10, False),
-        (0.7 * ALLOWED * READ_RATE, 10, True),
-        (5.0 * ALLOWED * READ_RATE, 0, False),  # No stream is there to pause.
+        (0.5 * ALLOWED * PREFILL_RATE, 10, False),
+        (0.7 * ALLOWED * PREFILL_RATE, 10, True),
+        (5.0 * ALLOWED * PREFILL_RATE, 0, False),  # No stream is there to pause.
     ],
 )
 def test_where_a_prompt_is_held_back(recent: float, running: int, crowded: bool) -> None:
-    choice = choose([replace(BUSY, recent_tokens=recent, running=running)], 800)
+    choice = choose_engine([replace(BUSY, recent_tokens=recent, running=running)], 800)
     assert choice is not None
     assert choice.crowded is crowded
 
@@ -143,7 +143,7 @@
 def test_a_prompt_goes_where_fewer_streams_pause() -> None:
     busy = replace(BUSY, endpoint="busy", running=25, recent_tokens=4_000.0)
     quiet = replace(BUSY, endpoint="quiet", running=25)
-    choice = choose([busy, quiet], 4_000)
+    choice = choose_engine([busy, quiet], 4_000)
     assert choice is not None
     assert choice.endpoint == "quiet"
 
@@ -158,10 +158,10 @@
 )
 def test_pauses_are_weighed_among_engines_that_are_alike_otherwise(other: EngineState) -> None:
     crowded = replace(BUSY, endpoint="crowded", running=25, recent_tokens=9_000.0)
-    choice = choose([crowded, other], 1_000)
+    choice = choose_engine([crowded, other], 1_000)
     assert choice is not None
     assert choice.endpoint == "crowded"
 
 
 def test_without_a_bound_on_pauses_nothing_stalls() -> None:
-    assert stalls(replace(BUSY, recent_tokens=50_000.0, largest_pause=0.0), 800) == 0.0
+    assert stall_ratio(replace(BUSY, recent_tokens=50_000.0, largest_pause=0.0), 800) == 0.0
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -7,18 +7,18 @@
 
 import pytest
 from wigeonarch_core.engine_places import AdapterKey
-from wigeonarch_core.routes import Kind, Share
-from wigeonarch_gateway.node import STILL_SENT
+from wigeonarch_core.routes import RouteKind, WeightedService
+from wigeonarch_gateway.node import LATE_DISPATCH_WINDOW
 from wigeonarch_gateway.ports import (
-    AnswerHead,
     Dispatch,
     EndpointState,
     Order,
     OrderResult,
+    ResponseHead,
     StoredObject,
     Verdict,
 )
-from wigeonarch_gateway.sharing import OWN_CALL
+from wigeonarch_gateway.sharing import OWN_CALL_TIME
 from wigeonarch_platform import dialect, records
 from wigeonarch_platform.settings import BadSettings, read_settings
 from wigeonarch_platform.store import WATCH_MARGIN
@@ -50,8 +50,8 @@
     assert (opts.instance, opts.zone, opts.front) == ("edge-1", "a", "10.0.0.1:8000")
     assert (opts.peer_port, opts.seeds) == (7000, ("10.0.0.1:8004", "10.0.0.2:8004"))
     assert opts.retries.share == 0.3
-    assert opts.holding.pause > 3.0
-    assert (opts.store.watch, opts.store.gather) == pytest.approx((3.5, 0.9))
+    assert opts.leases.pause > 3.0
+    assert (opts.store.watch, opts.store.batch_pause) == pytest.approx((3.5, 0.9))
 
 
 @pytest.mark.parametrize(("contact_ms", "drain_ms"), [(3000, 2000), (4000, 3000), (5000, 4000)])
@@ -62,11 +62,11 @@
     store = read_settings(text(**bounds)).options.store
     assert store.contact == contact_ms / 1000
     # A silent way to the store, noticed by the shortest wait, and the lists that follow.
-    assert store.watch_configuration + WATCH_MARGIN + OWN_CALL < store.contact
+    assert store.watch_configuration + WATCH_MARGIN + OWN_CALL_TIME < store.contact
     # A refused call, the longest pause after it, and the list that follows.
-    assert store.retry_most + OWN_CALL < store.contact
+    assert store.retry_most + OWN_CALL_TIME < store.contact
     # What is missing: a keeper's notice, the time to come back, and requests under way.
-    assert store.retry + store.returned + STILL_SENT <= store.contact
+    assert store.retry + store.return_time + LATE_DISPATCH_WINDOW <= store.contact
 
 
 @pytest.mark.parametrize(
@@ -116,8 +116,8 @@
     table = records.decode_configuration(stored(CONFIGURATION))
     route = table.find("x.example", "/p/q")
     assert route is not None
-    assert route.split == (Share("s", 90), Share("t", 10))
-    assert (route.kind, route.timeout, route.objective) == (Kind.STREAMING, 15.0, 0.8)
+    assert route.split == (WeightedService("s", 90), WeightedService("t", 10))
+    assert (route.kind, route.timeout, route.objective) == (RouteKind.STREAMING, 15.0, 0.8)
     assert (route.resumable, route.largest_pause, route.priority) == (True, 0.25, 2)
     assert table.limits.body_bytes == 99
 
@@ -239,7 +239,7 @@
 def test_what_an_answer_says(
     status: int, headers: tuple[tuple[bytes, bytes], ...], expected: Verdict
 ) -> None:
-    assert dialect.judge("r1", AnswerHead(status, headers)) is expected
+    assert dialect.judge("r1", ResponseHead(status, headers)) is expected
 
 
 @pytest.mark.parametrize(
--- a/tests/test_quota_bank.py
+++ b/tests/test_quota_bank.py
@@ -11,14 +11,14 @@
 from typing import Any
 
 import pytest
-import wigeonarch_core.quota_bank as quota_bank
-from wigeonarch_core.quota_bank import Part, QuotaBank, QuotaBounds
+import wigeonarch_core.quota_ledger as quota_bank
+from wigeonarch_core.quota_ledger import QuotaBounds, QuotaLedger, QuotaShare
 from wigeonarch_core.teams import Quota, Unit
 from wigeonarch_fakes.quota_world import BOUNDS, World, quota
 
 USUAL = 0.55  # Part of its quota that a team asks for on the whole.
 HOT = 7.5
-ALONE = Part(1.0, True)
+ALONE = QuotaShare(1.0, True)
 
 
 def hot_after(quota_: Quota, start: float, times: float = HOT) -> Callable[[float], float]:
@@ -131,7 +131,7 @@
 
 def deputies_are_bankers(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
     part = World.part
-    monkeypatch.setattr(World, "part", lambda self, one: Part(part(self, one).share, True))
+    monkeypatch.setattr(World, "part", lambda self, one: QuotaShare(part(self, one).share, True))
     monkeypatch.setattr(quota_bank, "FIRST", 0.3)
     return {}
 
@@ -149,27 +149,29 @@
 
 def loans_cost_nothing(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
     def lend(
-        self: QuotaBank, team: str, quota_: Quota, part: Part, wanted: float, now: float
+        self: QuotaLedger, team: str, quota_: Quota, part: QuotaShare, wanted: float, now: float
     ) -> float:
         return wanted
 
-    monkeypatch.setattr(QuotaBank, "lend", lend)
+    monkeypatch.setattr(QuotaLedger, "lend", lend)
     return {}
 
 
 def loans_count_twice(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    borrowed = QuotaBank.borrowed
+    borrowed = QuotaLedger.accept_loan
 
-    def twice(self: QuotaBank, team: str, plea: int, lender: str, units: float, now: float) -> bool:
+    def twice(
+        self: QuotaLedger, team: str, plea: int, lender: str, units: float, now: float
+    ) -> bool:
         borrowed(self, team, plea, lender, 2.0 * units, now)
         return borrowed(self, team, plea, lender + "again", 2.0 * units, now)
 
-    monkeypatch.setattr(QuotaBank, "borrowed", twice)
+    monkeypatch.setattr(QuotaLedger, "borrowed", twice)
     return {}
 
 
 def nothing_is_counted(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    monkeypatch.setattr(QuotaBank, "_give", staticmethod(lambda account, units, at: None))
+    monkeypatch.setattr(QuotaLedger, "_give", staticmethod(lambda account, units, at: None))
     return {}
 
 
@@ -218,11 +220,11 @@
     assert Quota(unit, 10.0, 10.0, 200.0).cost(tokens) == cost
 
 
-def settled_bank(quota_: Quota) -> QuotaBank:
+def settled_bank(quota_: Quota) -> QuotaLedger:
     """Returns a bank that has been in office for a whole window."""
-    bank = QuotaBank(QuotaBounds(8.0, 0.0, 0.0), 0.0)
+    bank = QuotaLedger(QuotaBounds(8.0, 0.0, 0.0), 0.0)
     for step in range(41):
-        bank.look({"t": (quota_, ALONE)}, step * 0.25)
+        bank.update({"t": (quota_, ALONE)}, step * 0.25)
     return bank
 
 
@@ -230,46 +232,46 @@
     limit = Quota(Unit.REQUESTS, 10.0, 10.0)
     bank = settled_bank(limit)
     given = 0
-    while bank.ask("t", limit, ALONE, 1.0, 10.0).granted:
+    while bank.acquire("t", limit, ALONE, 1.0, 10.0).granted:
         given += 1
     assert given > 10
-    first = bank.ask("t", limit, ALONE, 1.0, 10.0)
-    second = bank.ask("t", limit, ALONE, 1.0, 10.0)
+    first = bank.acquire("t", limit, ALONE, 1.0, 10.0)
+    second = bank.acquire("t", limit, ALONE, 1.0, 10.0)
     assert not first.granted
-    assert 0.0 < first.wait <= first.turn < second.turn
+    assert 0.0 < first.wait <= first.queue_wait < second.queue_wait
 
 
 def test_credit_is_given_back_once() -> None:
     limit = Quota(Unit.REQUESTS, 10.0, 10.0)
     bank = settled_bank(limit)
-    bank.granted("e-1", 7, "t", 1.0, 10.0)
-    while bank.ask("t", limit, ALONE, 1.0, 10.0).granted:
+    bank.record_grant("e-1", 7, "t", 1.0, 10.0)
+    while bank.acquire("t", limit, ALONE, 1.0, 10.0).granted:
         pass
-    bank.give_back("e-1", 7)
-    bank.give_back("e-1", 7)
-    bank.give_back("e-2", 7)
-    assert bank.ask("t", limit, ALONE, 1.0, 10.0).granted
-    assert not bank.ask("t", limit, ALONE, 1.0, 10.0).granted
+    bank.refund("e-1", 7)
+    bank.refund("e-1", 7)
+    bank.refund("e-2", 7)
+    assert bank.acquire("t", limit, ALONE, 1.0, 10.0).granted
+    assert not bank.acquire("t", limit, ALONE, 1.0, 10.0).granted
 
 
 def test_a_loan_is_taken_once_and_only_while_it_is_waited_for() -> None:
     limit = Quota(Unit.REQUESTS, 10.0, 10.0)
     bank = settled_bank(limit)
-    part = Part(0.5, True)
-    while bank.ask("t", limit, part, 1.0, 10.0).granted:
+    part = QuotaShare(0.5, True)
+    while bank.acquire("t", limit, part, 1.0, 10.0).granted:
         pass
-    plea = bank.plea("t", limit, part, 10.0)
+    plea = bank.request_loan("t", limit, part, 10.0)
     assert plea is not None
-    assert bank.plea("t", limit, part, 10.1) is None  # It was just asked.
-    assert bank.borrowed("t", plea.number, "b", 2.0, 10.1)
-    assert not bank.borrowed("t", plea.number, "b", 2.0, 10.1)
-    assert not bank.borrowed("t", plea.number + 1, "b", 2.0, 10.1)
-    assert bank.borrowed("t", plea.number, "c", 2.0, 10.2)
-    assert not bank.borrowed("t", plea.number, "d", 2.0, 10.6)
+    assert bank.request_loan("t", limit, part, 10.1) is None  # It was just asked.
+    assert bank.accept_loan("t", plea.number, "b", 2.0, 10.1)
+    assert not bank.accept_loan("t", plea.number, "b", 2.0, 10.1)
+    assert not bank.accept_loan("t", plea.number + 1, "b", 2.0, 10.1)
+    assert bank.accept_loan("t", plea.number, "c", 2.0, 10.2)
+    assert not bank.accept_loan("t", plea.number, "d", 2.0, 10.6)
 
 
 def test_a_bank_forgets_teams_that_have_no_quota_any_more() -> None:
     limit = Quota(Unit.REQUESTS, 10.0, 10.0)
     bank = settled_bank(limit)
-    bank.look({}, 10.1)
-    assert bank.plea("t", limit, ALONE, 10.2) is None
+    bank.update({}, 10.1)
+    assert bank.request_loan("t", limit, ALONE, 10.2) is None
--- a/tests/test_retry_window.py
+++ b/tests/test_retry_window.py
@@ -21,25 +21,25 @@
 )
 def test_repeats_allowed(fresh: int, instances: int, allowed: int) -> None:
     window = RetryWindow(SHARE, ALLOWANCE, WINDOW)
-    window.heard_of(instances)
+    window.note_instance_count(instances)
     for _ in range(fresh):
-        window.fresh("s", 1.0)
-    assert sum(window.spend("s", 2.0) for _ in range(200)) == allowed
+        window.record_request("s", 1.0)
+    assert sum(window.try_spend("s", 2.0) for _ in range(200)) == allowed
 
 
 def test_an_instance_that_falls_silent_gives_no_larger_part() -> None:
     window = RetryWindow(SHARE, ALLOWANCE, WINDOW)
-    window.heard_of(6)
-    before = window.left("s", 0.0)
-    window.heard_of(1)
-    assert window.left("s", 0.0) == before
+    window.note_instance_count(6)
+    before = window.remaining("s", 0.0)
+    window.note_instance_count(1)
+    assert window.remaining("s", 0.0) == before
 
 
 def test_repeats_return_when_the_window_has_passed() -> None:
     window = RetryWindow(SHARE, 2.0, WINDOW)
-    assert window.spend("s", 0.0)
-    assert not window.spend("s", 9.9)
-    assert window.spend("s", 10.1)
+    assert window.try_spend("s", 0.0)
+    assert not window.try_spend("s", 9.9)
+    assert window.try_spend("s", 10.1)
 
 
 @given(
@@ -53,16 +53,16 @@
     """Four instances that never hear how much the others spend."""
     parts = [RetryWindow(SHARE, ALLOWANCE, WINDOW) for _ in range(4)]
     for part in parts:
-        part.heard_of(4)
+        part.note_instance_count(4)
     now = 0.0
     fresh: list[float] = []
     repeats: list[float] = []
     for which, pause, again in steps:
         now += pause
         if again:
-            repeats += [now] * parts[which].spend("s", now)
+            repeats += [now] * parts[which].try_spend("s", now)
         else:
-            parts[which].fresh("s", now)
+            parts[which].record_request("s", now)
             fresh.append(now)
         recent = [at for at in repeats if at > now - WINDOW]
         # Fresh requests of this window or the one before count, as the bound allows.
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -6,26 +6,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from standins.store import StoreStandIn
-from wigeonarch_core.revisions import ERA_SPAN, era_of, in_era, within_era
+from wigeonarch_core.revisions import REVISIONS_PER_ERA, era_of, global_revision, store_revision
 from wigeonarch_gateway.ports import (
     Absent,
     Changes,
     Conflict,
     HistoryGone,
-    Kinds,
     Listing,
+    ObjectKind,
     StoredObject,
 )
 from wigeonarch_platform.store import Store
 
 ERAS = st.integers(0, 8000)
-REVISIONS = st.integers(0, ERA_SPAN - 1)
+REVISIONS = st.integers(0, REVISIONS_PER_ERA - 1)
 
 
 @given(ERAS, REVISIONS, ERAS, REVISIONS)
 def test_eras_go_before_revisions(era: int, revision: int, other: int, later: int) -> None:
-    one, two = in_era(era, revision), in_era(other, later)
-    assert (era_of(one), within_era(one)) == (era, revision)
+    one, two = global_revision(era, revision), global_revision(other, later)
+    assert (era_of(one), store_revision(one)) == (era, revision)
     assert (one < two) is ((era, revision) < (other, later))
     assert int(float(one)) == one
 
@@ -35,20 +35,20 @@
     await standin.start()
     store = Store(standin.address)
     await standin.put("wigeonarch-leases", "a", {"n": 1})
-    before = await store.list(Kinds.LEASES)
+    before = await store.list(ObjectKind.LEASES)
     assert isinstance(before, Listing)
     old = before.objects[0]
     standin.take_copy()
     await standin.come_back_older()
-    after = await store.get(Kinds.LEASES, "a")
+    after = await store.get(ObjectKind.LEASES, "a")
     assert isinstance(after, StoredObject)
     assert after.revision > before.as_of
     calls = len(standin.calls)
-    assert isinstance(await store.replace(Kinds.LEASES, "a", {"n": 2}, old.revision), Conflict)
-    assert isinstance(await store.watch(Kinds.LEASES, before.as_of, 0.1), HistoryGone)
-    assert not await store.remove(Kinds.LEASES, "a", old.revision)
+    assert isinstance(await store.replace(ObjectKind.LEASES, "a", {"n": 2}, old.revision), Conflict)
+    assert isinstance(await store.watch(ObjectKind.LEASES, before.as_of, 0.1), HistoryGone)
+    assert not await store.remove(ObjectKind.LEASES, "a", old.revision)
     assert len(standin.calls) == calls
-    written = await store.replace(Kinds.LEASES, "a", {"n": 2}, after.revision)
+    written = await store.replace(ObjectKind.LEASES, "a", {"n": 2}, after.revision)
     assert isinstance(written, StoredObject)
     assert written.revision > after.revision
     await store.close()
@@ -64,13 +64,13 @@
     await standin.start()
     store = Store(standin.address)
     await standin.put("config", "main", {})
-    listed = await store.list(Kinds.CONFIGURATION)
+    listed = await store.list(ObjectKind.CONFIGURATION)
     assert isinstance(listed, Listing)
-    assert isinstance(await store.watch(Kinds.CONFIGURATION, listed.as_of, 0.05), Changes)
-    assert isinstance(await store.get(Kinds.CONFIGURATION, "none"), Absent)
+    assert isinstance(await store.watch(ObjectKind.CONFIGURATION, listed.as_of, 0.05), Changes)
+    assert isinstance(await store.get(ObjectKind.CONFIGURATION, "none"), Absent)
     # The revision that the watch names exists in the next era too.
     standin.era = 4
     await standin.put("config", "main", {"version": 2})
-    assert isinstance(await store.watch(Kinds.CONFIGURATION, listed.as_of, 0.05), HistoryGone)
+    assert isinstance(await store.watch(ObjectKind.CONFIGURATION, listed.as_of, 0.05), HistoryGone)
     await store.close()
     await standin.stop()
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -5,14 +5,21 @@
 from collections import Counter
 
 import pytest
-from wigeonarch_core.routes import ClientLimits, Kind, Route, RoutingTable, Share, pick_service
+from wigeonarch_core.routes import (
+    ClientLimits,
+    Route,
+    RouteKind,
+    RoutingTable,
+    WeightedService,
+    pick_service,
+)
 
 LIMITS = ClientLimits(16384, 1 << 20, 15.0)
 
 
-def route(name: str, host: str, prefix: str, *split: Share) -> Route:
-    shares = split or (Share("s", 1),)
-    return Route(name, host, prefix, Kind.IDEMPOTENT, shares, 2, 1.0, 0.3, 0)
+def route(name: str, host: str, prefix: str, *split: WeightedService) -> Route:
+    shares = split or (WeightedService("s", 1),)
+    return Route(name, host, prefix, RouteKind.IDEMPOTENT, shares, 2, 1.0, 0.3, 0)
 
 
 TABLE = RoutingTable(
@@ -50,11 +57,18 @@
 
 
 def test_a_split_follows_its_weights() -> None:
-    split = route("s", "x", "/", Share("old", 90), Share("none", 0), Share("new", 10))
+    split = route(
+        "s",
+        "x",
+        "/",
+        WeightedService("old", 90),
+        WeightedService("none", 0),
+        WeightedService("new", 10),
+    )
     drawn = Counter(pick_service(split, number / 1000) for number in range(1000))
     assert drawn == {"old": 900, "new": 100}
 
 
 def test_the_last_share_takes_what_rounding_leaves() -> None:
-    split = route("s", "x", "/", Share("a", 1), Share("b", 2))
+    split = route("s", "x", "/", WeightedService("a", 1), WeightedService("b", 2))
     assert pick_service(split, 0.9999999999999999) == "b"
--- a/tests/test_service_load.py
+++ b/tests/test_service_load.py
@@ -6,16 +6,16 @@
 
 import pytest
 from service_world import LAG, OBJECTIVE, SLOTS, WORK, Service, least_busy
-from wigeonarch_core.service_choice import ServiceState, choose_plain
-from wigeonarch_core.service_load import LEARNED_LEAST, ServiceTimes, sent_share
+from wigeonarch_core.service_choice import ServiceState, choose_endpoint
+from wigeonarch_core.service_load import MIN_ANSWERS, ServiceTimes, admitted_share
 
 
 def levelling(states: list[ServiceState], rng: random.Random) -> str | None:
-    return choose_plain(states, LAG, WORK, rng.random())
+    return choose_endpoint(states, LAG, WORK, rng.random())
 
 
 def share(running: int) -> float:
-    return sent_share(running, SLOTS, WORK, OBJECTIVE)
+    return admitted_share(running, SLOTS, WORK, OBJECTIVE)
 
 
 @pytest.mark.parametrize("endpoints", [2, 3])
@@ -64,17 +64,17 @@
     ],
 )
 def test_part_that_is_sent(running: int, usual: float | None, expected: float) -> None:
-    assert sent_share(running, SLOTS, usual, OBJECTIVE) == pytest.approx(expected)
+    assert admitted_share(running, SLOTS, usual, OBJECTIVE) == pytest.approx(expected)
 
 
 def test_only_answers_without_a_wait_teach_what_requests_take() -> None:
     times = ServiceTimes()
-    for _ in range(LEARNED_LEAST):
-        assert times.usual("s") is None
-        times.answered("s", 0.07, 1, SLOTS)
+    for _ in range(MIN_ANSWERS):
+        assert times.estimate("s") is None
+        times.record_answer("s", 0.07, 1, SLOTS)
     for _ in range(50):
-        times.answered("s", 0.5, SLOTS + 1, SLOTS)
-    assert times.usual("s") == pytest.approx(0.07)
+        times.record_answer("s", 0.5, SLOTS + 1, SLOTS)
+    assert times.estimate("s") == pytest.approx(0.07)
 
 
 @pytest.mark.parametrize(
@@ -93,4 +93,4 @@
     states = [
         ServiceState(str(place), same_zone[place], SLOTS, running[place], 0.0) for place in (0, 1)
     ]
-    assert choose_plain(states, lag, WORK, draw) == expected
+    assert choose_endpoint(states, lag, WORK, draw) == expected
--- a/tests/test_store_contact.py
+++ b/tests/test_store_contact.py
@@ -13,7 +13,7 @@
 import pytest
 from wigeonarch_core.store_contact import NEVER, Contact, LapseTimes, StoreContact
 
-TIMES = LapseTimes(lapse=3.0, comes_back=2.2, unsure=2.5)
+TIMES = LapseTimes(lapse=3.0, return_time=2.2, reaction_time=2.5)
 
 
 @pytest.mark.parametrize(
@@ -47,21 +47,21 @@
     answers: list[float], failed: list[float], witnesses: list[Contact], until: float
 ) -> None:
     contact = StoreContact(TIMES)
-    contact.answered(answers[0])
+    contact.record_answer(answers[0])
     for at in failed:
-        contact.failed(at)
+        contact.record_failure(at)
     for at in answers[1:]:
-        contact.answered(at)
+        contact.record_answer(at)
     assert contact.may_lapse_until(witnesses) == pytest.approx(until)
 
 
 def test_calls_that_fail_after_an_outage_do_not_lengthen_it() -> None:
     contact = StoreContact(TIMES)
-    contact.answered(10.0)
-    contact.failed(14.8)
-    contact.answered(15.0)
-    contact.failed(16.0)
-    contact.answered(16.4)
+    contact.record_answer(10.0)
+    contact.record_failure(14.8)
+    contact.record_answer(15.0)
+    contact.record_failure(16.0)
+    contact.record_answer(16.4)
     assert contact.may_lapse_until([]) == pytest.approx(17.2)
 
 
@@ -163,10 +163,10 @@
 
     def call(instance: Instance, number: int, now: float) -> None:
         if cut(instance.zone, number, now):
-            instance.contact.failed(now)
+            instance.contact.record_failure(now)
             instance.next_call = now + instance.retry
             return
-        instance.contact.answered(now)
+        instance.contact.record_answer(now)
         instance.next_call = now + 0.25
         present = {n for n, entry in enumerate(entries) if entry.present}
         instance.uses |= present
@@ -223,7 +223,7 @@
 def own_notice(contact: StoreContact, witnesses: list[Contact]) -> float:
     """Counts from this instance's own first answer, whatever came before it."""
     known = contact.contact()
-    return known.since + TIMES.comes_back if known is not None else NEVER
+    return known.since + TIMES.return_time if known is not None else NEVER
 
 
 def any_failure(contact: StoreContact, witnesses: Iterable[Contact]) -> float:
--- a/tests/test_streamlines.py
+++ b/tests/test_streamlines.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 from aiohttp import web
-from wigeonarch_entry.streamlines import Lines
+from wigeonarch_entry.streamlines import StreamLines
 
 TEXT = [b"one\n", b"two\n", b"three\n", b"torn"]
 
@@ -33,6 +33,6 @@
         # Both the lines and the end have come before the first line is asked for.
         while resp.content.exception() is None:  # noqa: ASYNC110 - a reader has no event
             await asyncio.sleep(0)
-        lines = Lines(resp.content)
+        lines = StreamLines(resp.content)
         assert [await lines.next(1.0) for _ in range(5)] == [*TEXT, b""]
     await runner.cleanup()
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -5,14 +5,20 @@
 import asyncio
 
 import pytest
-from wigeonarch_core.fatal_requests import ENDS_MOST, NOTABLE_MOST
+from wigeonarch_core.fatal_requests import CRASHES_TO_QUARANTINE, MAX_STORED
 from wigeonarch_gateway import suspects as module
-from wigeonarch_gateway.links import MESSAGE_BOUND
-from wigeonarch_gateway.messages import EndsTold, Message, encode
+from wigeonarch_gateway.messages import CrashReport, Message, encode
 from wigeonarch_gateway.metrics import Metrics
-from wigeonarch_gateway.pools import Reach
+from wigeonarch_gateway.peer_socket import MAX_MESSAGE_BYTES
+from wigeonarch_gateway.pools import ProbeResult
 from wigeonarch_gateway.ports import EndpointRecord, EndpointState
-from wigeonarch_gateway.suspects import GATHER, LINGERS, TOLD_AT_ONCE, YOUNG, Suspects
+from wigeonarch_gateway.suspects import (
+    ABANDONED_RUN_TTL,
+    BATCH_DELAY,
+    MAX_PER_MESSAGE,
+    STARTUP_PERIOD,
+    SuspectRequests,
+)
 
 
 class Clock:
@@ -35,17 +41,17 @@
 class Seen:
     """What an instance sent, and how often its lease should be renewed."""
 
-    def __init__(self, name: str = "me", reach: Reach = Reach.REFUSED) -> None:
-        self.messages: list[EndsTold] = []
+    def __init__(self, name: str = "me", reach: ProbeResult = ProbeResult.REFUSED) -> None:
+        self.messages: list[CrashReport] = []
         self.renewals = 0
         self.reach = reach
-        self.suspects = Suspects(name, self._send, self._renew, self._reach, Metrics())
+        self.suspects = SuspectRequests(name, self._send, self._renew, self._reach, Metrics())
 
-    async def _reach(self, record: EndpointRecord) -> Reach:
+    async def _reach(self, record: EndpointRecord) -> ProbeResult:
         return self.reach
 
     def _send(self, message: Message) -> None:
-        assert isinstance(message, EndsTold)
+        assert isinstance(message, CrashReport)
         self.messages.append(message)
 
     def _renew(self) -> None:
@@ -55,7 +61,7 @@
 async def lose(seen: Seen, clock: Clock, content: str, *endpoints: str) -> None:
     """Has an instance lose a request at endpoints, one after the other."""
     for name in endpoints:
-        seen.suspects.lost(content, endpoint(name), clock.now)
+        seen.suspects.record_connection_lost(content, endpoint(name), clock.now)
         await looked()
         clock.now += 1.0
 
@@ -73,30 +79,34 @@
 async def test_losses_of_one_moment_are_told_in_one_message(clock: Clock) -> None:
     seen = Seen()
     for content in ("x", "y", "x"):
-        seen.suspects.lost(content, endpoint("e1"), clock.now - 0.25)
-    await asyncio.sleep(2 * GATHER)
-    assert [message.ends for message in seen.messages] == [[("x", "e1@1", 250), ("y", "e1@1", 250)]]
+        seen.suspects.record_connection_lost(content, endpoint("e1"), clock.now - 0.25)
+    await asyncio.sleep(2 * BATCH_DELAY)
+    assert [message.crashes for message in seen.messages] == [
+        [("x", "e1@1", 250), ("y", "e1@1", 250)]
+    ]
 
 
 async def test_many_losses_fit_into_datagrams() -> None:
     seen = Seen()
-    for number in range(3 * TOLD_AT_ONCE):
-        seen.suspects.lost(f"{number:024x}", endpoint("e" * 40, 1_700_000_000_000), 0.0)
-    await asyncio.sleep(2 * GATHER)
-    assert sum(len(message.ends) for message in seen.messages) == 3 * TOLD_AT_ONCE
-    assert all(len(encode(message)) < MESSAGE_BOUND for message in seen.messages)
+    for number in range(3 * MAX_PER_MESSAGE):
+        seen.suspects.record_connection_lost(
+            f"{number:024x}", endpoint("e" * 40, 1_700_000_000_000), 0.0
+        )
+    await asyncio.sleep(2 * BATCH_DELAY)
+    assert sum(len(message.crashes) for message in seen.messages) == 3 * MAX_PER_MESSAGE
+    assert all(len(encode(message)) < MAX_MESSAGE_BYTES for message in seen.messages)
 
 
 async def test_ends_that_several_instances_saw_add_up(clock: Clock) -> None:
     first, second = Seen("first"), Seen("second")
     await lose(first, clock, "x", "e1")
     await lose(second, clock, "x", "e2", "e3")
-    assert not second.suspects.held_for("x")
-    await asyncio.sleep(2 * GATHER)
+    assert not second.suspects.quarantine_left("x")
+    await asyncio.sleep(2 * BATCH_DELAY)
     for message in first.messages:
-        second.suspects.told(message)
-    assert second.suspects.ends("x") == ENDS_MOST
-    assert second.suspects.held_for("x") > 0.0
+        second.suspects.receive_report(message)
+    assert second.suspects.crash_count("x") == CRASHES_TO_QUARANTINE
+    assert second.suspects.quarantine_left("x") > 0.0
 
 
 @pytest.mark.parametrize(
@@ -107,15 +117,15 @@
 ) -> None:
     seen = Seen()
     await lose(seen, clock, "x", *ends)
-    assert len(seen.suspects.notable()) == kept
+    assert len(seen.suspects.crashes_to_store()) == kept
     assert bool(seen.renewals) is bool(kept)
 
 
 async def test_a_lease_keeps_a_bounded_number(clock: Clock) -> None:
     seen = Seen()
-    for number in range(3 * NOTABLE_MOST):
+    for number in range(3 * MAX_STORED):
         await lose(seen, clock, f"r{number}", "e1", "e2")
-    assert len(seen.suspects.notable()) == NOTABLE_MOST
+    assert len(seen.suspects.crashes_to_store()) == MAX_STORED
 
 
 @pytest.mark.parametrize("young", [True, False])
@@ -123,66 +133,68 @@
     young: bool, clock: Clock
 ) -> None:
     seen = Seen()
-    clock.now += 0.0 if young else YOUNG
+    clock.now += 0.0 if young else STARTUP_PERIOD
     for _ in range(2):
-        seen.suspects.read([("x", ["e1@1", "e2@1", "e3@1"])])
-    assert seen.suspects.held_for("x") > 0.0
-    await asyncio.sleep(2 * GATHER)
+        seen.suspects.adopt_stored_crashes([("x", ["e1@1", "e2@1", "e3@1"])])
+    assert seen.suspects.quarantine_left("x") > 0.0
+    await asyncio.sleep(2 * BATCH_DELAY)
     assert len(seen.messages) == (0 if young else 1)
 
 
-@pytest.mark.parametrize(("after", "blamed"), [(0.5 * LINGERS, 1), (1.5 * LINGERS, 0)])
+@pytest.mark.parametrize(
+    ("after", "blamed"), [(0.5 * ABANDONED_RUN_TTL, 1), (1.5 * ABANDONED_RUN_TTL, 0)]
+)
 async def test_a_run_whose_end_nobody_saw_counts_when_its_endpoint_is_gone(
     after: float, blamed: int, clock: Clock
 ) -> None:
     seen = Seen()
-    seen.suspects.unanswered("x", endpoint("e1"), clock.now)
-    assert seen.suspects.ends("x") == 0
+    seen.suspects.record_abandoned("x", endpoint("e1"), clock.now)
+    assert seen.suspects.crash_count("x") == 0
     clock.now += after
     seen.suspects.endpoint_ended("e2")
-    assert seen.suspects.ends("x") == 0
+    assert seen.suspects.crash_count("x") == 0
     seen.suspects.endpoint_ended("e1")
-    assert seen.suspects.ends("x") == blamed
+    assert seen.suspects.crash_count("x") == blamed
 
 
 async def test_a_cleared_request_is_told_and_one_without_ends_is_not() -> None:
     seen, other = Seen(), Seen("other")
-    seen.suspects.answered("y")
-    seen.suspects.lost("x", endpoint("e1"), 0.0)
+    seen.suspects.record_answered("y")
+    seen.suspects.record_connection_lost("x", endpoint("e1"), 0.0)
     await looked()
-    seen.suspects.answered("x")
-    await asyncio.sleep(2 * GATHER)
+    seen.suspects.record_answered("x")
+    await asyncio.sleep(2 * BATCH_DELAY)
     assert len(seen.messages) == 1
-    other.suspects.told(seen.messages[0])
-    assert other.suspects.ends("x") == 0
+    other.suspects.receive_report(seen.messages[0])
+    assert other.suspects.crash_count("x") == 0
 
 
 async def test_a_newcomer_is_told_what_is_known(clock: Clock) -> None:
     seen, newcomer = Seen(), Seen("newcomer")
     await lose(seen, clock, "x", "e1", "e2", "e3")
-    newcomer.suspects.told(seen.suspects.known())
-    assert newcomer.suspects.held_for("x") > 0.0
+    newcomer.suspects.receive_report(seen.suspects.known_crashes())
+    assert newcomer.suspects.quarantine_left("x") > 0.0
 
 
 @pytest.mark.parametrize(
     ("reach", "before", "after"),
-    [(Reach.REFUSED, 1, 1), (Reach.OPEN, 0, 0), (Reach.UNKNOWN, 0, 1)],
+    [(ProbeResult.REFUSED, 1, 1), (ProbeResult.OPEN, 0, 0), (ProbeResult.UNKNOWN, 0, 1)],
 )
 async def test_a_connection_that_broke_while_its_endpoint_lives_on_blames_nobody(
-    reach: Reach, before: int, after: int, clock: Clock
+    reach: ProbeResult, before: int, after: int, clock: Clock
 ) -> None:
     seen = Seen(reach=reach)
     await lose(seen, clock, "x", "e1")
-    assert seen.suspects.ends("x") == before
+    assert seen.suspects.crash_count("x") == before
     seen.suspects.endpoint_ended("e1")
-    assert seen.suspects.ends("x") == after
+    assert seen.suspects.crash_count("x") == after
 
 
 async def test_one_look_decides_on_all_runs_that_were_lost_with_an_endpoint(clock: Clock) -> None:
     seen = Seen()
     for number in range(10):
-        seen.suspects.lost(f"r{number}", endpoint("e1"), clock.now)
+        seen.suspects.record_connection_lost(f"r{number}", endpoint("e1"), clock.now)
     assert len(seen.suspects._checks) == 1
     await looked()
-    assert all(seen.suspects.ends(f"r{number}") == 1 for number in range(10))
+    assert all(seen.suspects.crash_count(f"r{number}") == 1 for number in range(10))
     assert not seen.suspects._checks
