--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -15,7 +15,7 @@
 KEY = "asnmgkcuyj8pjbvk9m68"
 TEAM = Team("hule930")
 TEAMS = Teams([KeyedTeam(TEAM, [KEY, "second"]), KeyedTeam(Team("other"), ["third"])])
-KEYED = Dispatch("i-1", 1.0, keyed=True, team="hule930")
+KEYED = Dispatch("i-1", 1.0, requires_key=True, team="hule930")
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,7 @@
 def test_a_team_in_the_configuration(changes: dict[str, Any], expected: Team) -> None:
     teams = teams_of(**changes)
     assert teams is not None
-    assert teams.holder(KEY) == expected
+    assert teams.team_by_key(KEY) == expected
     assert teams.get("hule930") == expected
 
 
@@ -153,7 +153,7 @@
     ("dispatch", "expected"),
     [
         (KEYED, [(b"X-Tenant", b"hule930")]),
-        (Dispatch("i-1", 1.0, keyed=True), []),
+        (Dispatch("i-1", 1.0, requires_key=True), []),
         (Dispatch("i-1", 1.0), [(b"Authorization", b"Bearer " + KEY.encode())]),
     ],
 )
@@ -203,7 +203,7 @@
     sent: list[tuple[str, str]], resume_after: str
 ) -> None:
     raw = [(name.encode(), value.encode()) for name, value in sent]
-    dispatch = Dispatch("i-1", 1.0, 1, 1, resume_after, keyed=True, team="hule930")
+    dispatch = Dispatch("i-1", 1.0, 1, 1, resume_after, requires_key=True, team="hule930")
     found = dialect.forward(raw, dispatch)
     plain = [(name.lower().replace(b"_", b"-"), value) for name, value in found]
     assert [value for name, value in plain if name == b"x-tenant"] == [b"hule930"]
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import pytest
-from wigeonarch_gateway.messages import LoadShare
-from wigeonarch_gateway.traffic import Traffic
+from wigeonarch_gateway.messages import EndpointLoad
+from wigeonarch_gateway.traffic import InFlightTracker
 
-ONE = LoadShare("i-1", 2, 100, 50)
-OTHER = LoadShare("i-2", 1, 10, 5)
+ONE = EndpointLoad("i-1", 2, 100, 50)
+OTHER = EndpointLoad("i-2", 1, 10, 5)
 
 
 @pytest.mark.parametrize(
@@ -22,16 +22,16 @@
     ],
 )
 def test_the_last_of_each_counts_once(
-    told: list[tuple[str, list[LoadShare]]], running: dict[str, int]
+    told: list[tuple[str, list[EndpointLoad]]], running: dict[str, int]
 ) -> None:
-    traffic = Traffic()
+    traffic = InFlightTracker()
     for sender, loads in told:
-        traffic.heard(sender, list(loads))
-    assert {endpoint: traffic.at(endpoint).running for endpoint in running} == running
+        traffic.receive_loads(sender, list(loads))
+    assert {endpoint: traffic.load_at(endpoint).running for endpoint in running} == running
 
 
 def test_one_that_told_nothing_is_known_and_can_be_forgotten() -> None:
-    traffic = Traffic()
-    traffic.heard("b", [])
-    assert traffic.forget("b")
-    assert not traffic.forget("b")
+    traffic = InFlightTracker()
+    traffic.receive_loads("b", [])
+    assert traffic.forget_instance("b")
+    assert not traffic.forget_instance("b")
--- a/tests/test_told_age.py
+++ b/tests/test_update_age.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass, field
 
 import pytest
-from gateway_world import contact
-from spoiled_words import DEFECTS
+from corrupted_updates import DEFECTS
+from gateway_world import new_store_contact
 from wigeonarch_gateway import sharing as sharing_module
-from wigeonarch_gateway.messages import Follow, Told, Untold, decode
-from wigeonarch_gateway.options import ObeyedOptions, StoreOptions
-from wigeonarch_gateway.ports import Change, Kinds, StoredObject
-from wigeonarch_gateway.sharing import FOLLOW_EVERY, KINDS, OWN_CALL, Sharing
+from wigeonarch_gateway.messages import FollowRequest, StoreUpdate, UpdateUnavailable, decode
+from wigeonarch_gateway.options import PropagationBounds, StoreOptions
+from wigeonarch_gateway.ports import Change, ObjectKind, StoredObject
+from wigeonarch_gateway.sharing import FOLLOW_INTERVAL, KINDS, OWN_CALL_TIME, WatchSharing
 
-KIND = Kinds.ENDPOINTS
+KIND = ObjectKind.ENDPOINTS
 STEP = 0.01  # Seconds of the world's clock.
 SPAN = 30.0  # Seconds that are played.
 RTT = 0.01  # Seconds of a call to the store.
@@ -53,11 +53,13 @@
         return max(revision for when, revision in self.accepted if when <= at)
 
 
-def play(seed: int, bound: float, spoil: Callable[[Told], Told] = lambda told: told) -> None:
+def play(
+    seed: int, bound: float, spoil: Callable[[StoreUpdate], StoreUpdate] = lambda told: told
+) -> None:
     """Plays a world drawn from a seed; fails when the follower relies on what is too old."""
     rng = random.Random(seed)
     world = Played()
-    opts = StoreOptions(obeyed=ObeyedOptions(endpoints=bound))
+    opts = StoreOptions(propagation=PropagationBounds(endpoints=bound))
     loss = rng.choice((0.0, 0.1, 0.4))
     slowest = rng.choice((0.01, 0.1, 0.6))
 
@@ -72,28 +74,28 @@
 
     def to_keeper(frame: bytes) -> None:
         message = decode(frame)
-        assert isinstance(message, Follow)
-        keeper.asked(message)
+        assert isinstance(message, FollowRequest)
+        keeper.answer_follower(message)
 
     def to_follower(frame: bytes) -> None:
         message = decode(frame)
-        if isinstance(message, Untold):
-            follower.untold(message)
-        elif isinstance(message, Told):
-            follower.told(spoil(message))
+        if isinstance(message, UpdateUnavailable):
+            follower.receive_unavailable(message)
+        elif isinstance(message, StoreUpdate):
+            follower.receive_update(spoil(message))
 
-    keeper = Sharing("k", opts, lambda: ["k"], link(to_follower), contact())
-    follower = Sharing("f", opts, lambda: ["k"], link(to_keeper), contact())
+    keeper = WatchSharing("k", opts, lambda: ["k"], link(to_follower), new_store_contact())
+    follower = WatchSharing("f", opts, lambda: ["k"], link(to_keeper), new_store_contact())
     known = {10}
 
     def learn(change: Change) -> bool:
-        known.add(change.found.revision)
+        known.add(change.stored.revision)
         return True
 
-    keeper.add(KIND, lambda change: True)
-    follower.add(KIND, learn)
+    keeper.add_kind(KIND, lambda change: True)
+    follower.add_kind(KIND, learn)
     for one in (keeper, follower):
-        one.feed(KIND).listed([], 10)
+        one.feed(KIND).apply_list([], 10)
     cuts = sorted(rng.uniform(world.now, world.now + SPAN) for _ in range(4))
 
     def cut(at: float) -> bool:
@@ -101,7 +103,7 @@
 
     def watch() -> None:
         """The keeper's watch: a silent cut swallows its answer, and it is lost in time."""
-        pause, wait = keeper.watch_times(KIND, opts.gather, opts.watch)
+        pause, wait = keeper.watch_times(KIND, opts.batch_pause, opts.watch)
         began, since = world.now, keeper.feed(KIND).as_of
         assert since is not None
 
@@ -109,15 +111,15 @@
             news = world.revision(world.now)
             if cut(world.now) or cut(began):
                 if world.now - began > wait + 0.6:
-                    keeper.store_lost(KIND)
+                    keeper.note_store_failure(KIND)
                     world.later(opts.retry, watch)
                 else:
                     world.later(STEP, look)
             elif news > since or world.now - began >= wait:
                 fresh = range(since + 1, news + 1)
                 changes = [Change(StoredObject(f"i-{n}", n, n), False) for n in fresh]
-                keeper.store_answered(KIND)
-                keeper.watched(KIND, changes, news)
+                keeper.note_store_answer(KIND)
+                keeper.take_changes(KIND, changes, news)
                 world.later(pause if news > since else 0.0, watch)
             else:
                 world.later(STEP, look)
@@ -125,8 +127,8 @@
         world.later(RTT, look)
 
     def ask() -> None:
-        follower._ask()
-        world.later(FOLLOW_EVERY, ask)
+        follower._request_update()
+        world.later(FOLLOW_INTERVAL, ask)
 
     patch = pytest.MonkeyPatch()
     patch.setattr(sharing_module, "monotonic", lambda: world.now)
@@ -138,8 +140,8 @@
             if rng.random() < STEP * 2:
                 world.accepted.append((world.now, world.revision(world.now) + 1))
             world.step()
-            if follower.told_for(KIND) > 0.0:
-                must = world.revision(world.now - bound + OWN_CALL - STEP)
+            if follower.kept_current_for(KIND) > 0.0:
+                must = world.revision(world.now - bound + OWN_CALL_TIME - STEP)
                 lacks = set(range(10, must + 1)) - known
                 assert not lacks, f"seed {seed}: at {world.now:.2f} s it relies on a gap: {lacks}"
     finally:
@@ -156,7 +158,7 @@
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_planted_defect_is_caught(defect: Callable[[Told], Told]) -> None:
+def test_a_planted_defect_is_caught(defect: Callable[[StoreUpdate], StoreUpdate]) -> None:
     with pytest.raises(AssertionError, match="relies on a gap"):
         for seed in range(60):
             play(seed, 3.0, defect)
@@ -167,11 +169,11 @@
     bound: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its pause and wait fit the bound: the age at the next word is still under it."""
-    opts = StoreOptions(obeyed=ObeyedOptions(endpoints=bound))
-    sharing = Sharing("k", opts, lambda: ["k"], lambda name, frame: True, contact())
-    sharing.add(KIND, lambda change: True)
+    opts = StoreOptions(propagation=PropagationBounds(endpoints=bound))
+    sharing = WatchSharing("k", opts, lambda: ["k"], lambda name, frame: True, new_store_contact())
+    sharing.add_kind(KIND, lambda change: True)
     assert sharing.watch_times(KIND, 0.9, 3.5) == (0.9, 3.5)
-    sharing.asked(Follow("f", [(KINDS.index(KIND), 10)]))
+    sharing.answer_follower(FollowRequest("f", [(KINDS.index(KIND), 10)]))
     pause, wait = sharing.watch_times(KIND, 0.9, 3.5)
-    assert pause + wait + FOLLOW_EVERY < bound - OWN_CALL
+    assert pause + wait + FOLLOW_INTERVAL < bound - OWN_CALL_TIME
     assert wait > 0.1
--- a/tests/test_zone_watch.py
+++ b/tests/test_zone_watch.py
@@ -13,15 +13,21 @@
 from dataclasses import dataclass, field
 
 import pytest
-from gateway_world import contact
-from spoiled_words import DEFECTS
+from corrupted_updates import DEFECTS
+from gateway_world import new_store_contact
 from wigeonarch_gateway import sharing as sharing_module
-from wigeonarch_gateway.messages import Follow, Told, Untold, decode
-from wigeonarch_gateway.options import ObeyedOptions, StoreOptions
-from wigeonarch_gateway.ports import Change, Kinds, StoredObject
-from wigeonarch_gateway.sharing import FINDING, FOLLOW_EVERY, KINDS, OWN_CALL, Sharing
-
-KIND = Kinds.ENDPOINTS
+from wigeonarch_gateway.messages import FollowRequest, StoreUpdate, UpdateUnavailable, decode
+from wigeonarch_gateway.options import PropagationBounds, StoreOptions
+from wigeonarch_gateway.ports import Change, ObjectKind, StoredObject
+from wigeonarch_gateway.sharing import (
+    FOLLOW_INTERVAL,
+    KINDS,
+    OWN_CALL_TIME,
+    WATCHER_SEARCH_TIME,
+    WatchSharing,
+)
+
+KIND = ObjectKind.ENDPOINTS
 STEP = 0.02  # Seconds of the world's clock.
 RTT = 0.01  # Seconds of a call to the store.
 LOOK = 0.3  # Seconds between looks whether an instance may rest on.
@@ -53,44 +59,44 @@
 
     def start(self) -> None:
         """Starts, with a list that lags."""
-        opts = StoreOptions(obeyed=ObeyedOptions(endpoints=self.zone.bound))
-        self.sharing = Sharing(
+        opts = StoreOptions(propagation=PropagationBounds(endpoints=self.zone.bound))
+        self.sharing = WatchSharing(
             self.name,
             opts,
             lambda: list(self.zone.ranking),
             lambda to, frame: self.zone.send(self, to, frame),
-            contact(),
-            is_alone=lambda: False,
+            new_store_contact(),
+            is_zone_small=lambda: False,
         )
         seen = self.zone.store.revision(self.zone.now - self.zone.rng.uniform(0.0, STALE))
         self.known = set(range(10, seen + 1))
-        self.sharing.add(KIND, self.learn)
-        self.sharing.feed(KIND).listed([], seen)
+        self.sharing.add_kind(KIND, self.learn)
+        self.sharing.feed(KIND).apply_list([], seen)
         self.started = self.zone.now
         self.next_ask = self.zone.now
         self.next_look = self.zone.now
         self.watch: tuple[float, float, int] | None = None
 
     def learn(self, change: Change) -> bool:
-        self.known.add(change.found.revision)
+        self.known.add(change.stored.revision)
         return True
 
     def receive(self, frame: bytes) -> None:
         message = decode(frame)
-        if isinstance(message, Follow):
-            self.sharing.asked(message)
-        elif isinstance(message, Untold):
-            self.sharing.untold(message)
-        elif isinstance(message, Told):
-            self.sharing.told(self.zone.spoil(message))
+        if isinstance(message, FollowRequest):
+            self.sharing.answer_follower(message)
+        elif isinstance(message, UpdateUnavailable):
+            self.sharing.receive_unavailable(message)
+        elif isinstance(message, StoreUpdate):
+            self.sharing.receive_update(self.zone.spoil(message))
 
     def step(self) -> None:
         now = self.zone.now
         if now < self.down_until:
             return
         if now >= self.next_ask:
-            self.next_ask = now + FOLLOW_EVERY
-            self.sharing._ask()
+            self.next_ask = now + FOLLOW_INTERVAL
+            self.sharing._request_update()
         if self.watch is not None:
             self.look_at_watch()
         elif now >= self.next_look:
@@ -98,7 +104,7 @@
 
     def look(self) -> None:
         now = self.zone.now
-        rests = self.sharing.rests_for(KIND)
+        rests = self.sharing.watch_not_needed_for(KIND)
         if rests > 0.0:
             self.next_look = now + min(LOOK, rests)
             return
@@ -114,26 +120,26 @@
         began, wait, since = self.watch
         if now < self.cut_until or began < self.cut_until:
             if now - began > wait + LOST:
-                self.sharing.store_lost(KIND)
+                self.sharing.note_store_failure(KIND)
                 self.watch, self.next_look = None, now + 0.25
             return
         news = self.zone.store.revision(now - RTT)
         if news <= since and now - began < wait:
             return
         changes = [Change(StoredObject(f"i-{n}", n, n), False) for n in range(since + 1, news + 1)]
-        self.sharing.store_answered(KIND)
-        self.sharing.watched(KIND, changes, max(news, since))
+        self.sharing.note_store_answer(KIND)
+        self.sharing.take_changes(KIND, changes, max(news, since))
         pause, _ = self.sharing.watch_times(KIND, 0.9, 3.5)
         self.watch, self.next_look = None, now + (pause if changes else 0.0)
 
     def check(self) -> None:
         """Fails when the instance relies on another although it lacks what it must know."""
         zone = self.zone
-        if zone.now < self.down_until or zone.now - self.started < FINDING:
+        if zone.now < self.down_until or zone.now - self.started < WATCHER_SEARCH_TIME:
             return
-        if self.sharing.rests_for(KIND) <= 0.0:
+        if self.sharing.watch_not_needed_for(KIND) <= 0.0:
             return
-        must = zone.store.revision(zone.now - zone.bound + OWN_CALL - STEP)
+        must = zone.store.revision(zone.now - zone.bound + OWN_CALL_TIME - STEP)
         lacks = set(range(10, must + 1)) - self.known
         assert not lacks, f"at {zone.now:.2f} s {self.name} relies on a gap: {sorted(lacks)}"
 
@@ -142,7 +148,11 @@
     """The instances of a zone, their messages, and what happens to them."""
 
     def __init__(
-        self, seed: int, size: int, bound: float, spoil: Callable[[Told], Told] | None = None
+        self,
+        seed: int,
+        size: int,
+        bound: float,
+        spoil: Callable[[StoreUpdate], StoreUpdate] | None = None,
     ) -> None:
         self.rng = random.Random(seed)
         self.bound = bound
@@ -207,7 +217,7 @@
         bound: float = 3.0,
         seconds: float = 25.0,
         disturbed: float = 0.4,
-        spoil: Callable[[Told], Told] | None = None,
+        spoil: Callable[[StoreUpdate], StoreUpdate] | None = None,
         sound: bool = False,
     ) -> Zone:
         current: list[Zone] = []
@@ -248,7 +258,7 @@
 
 @pytest.mark.parametrize("defect", DEFECTS)
 def test_a_planted_defect_is_caught(
-    play: Callable[..., Zone], defect: Callable[[Told], Told]
+    play: Callable[..., Zone], defect: Callable[[StoreUpdate], StoreUpdate]
 ) -> None:
     with pytest.raises(AssertionError, match="relies on a gap"):
         for seed in range(40):
@@ -268,7 +278,7 @@
 
 
 def test_all_that_start_at_once_find_one_that_watches(play: Callable[..., Zone]) -> None:
-    zone = play(3, size=40, seconds=FINDING, disturbed=0.0, sound=True)
+    zone = play(3, size=40, seconds=WATCHER_SEARCH_TIME, disturbed=0.0, sound=True)
     asking = [name for name, instance in zone.instances.items() if instance.calls]
     assert len(asking) == 1
 
@@ -278,7 +288,7 @@
     first, second = zone.instances["n0"], zone.instances["n1"]
     assert all(i.sharing.following == "n0" for i in zone.instances.values() if i is not first)
     first.down_until = float("inf")
-    end = zone.now + 2 * FOLLOW_EVERY + 2.0
+    end = zone.now + 2 * FOLLOW_INTERVAL + 2.0
     while zone.now < end:
         zone.step()
         for instance in zone.instances.values():
@@ -293,7 +303,7 @@
     zone = play(7, size=4, seconds=6.0, disturbed=0.0, sound=True)
     second = zone.instances["n1"]
     assert second.sharing.following == "n0"
-    assert second.sharing.rests_for(KIND) > 0.0
+    assert second.sharing.watch_not_needed_for(KIND) > 0.0
     # Another one that lost sight of the first keeper; ages along a chain would add up.
-    second.sharing.asked(Follow("n3", [(KINDS.index(KIND), 10)]))
-    assert second.sharing.rests_for(KIND) == 0.0
+    second.sharing.answer_follower(FollowRequest("n3", [(KINDS.index(KIND), 10)]))
+    assert second.sharing.watch_not_needed_for(KIND) == 0.0
