--- a/packages/wigeonarch-core/src/wigeonarch_core/admission.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/admission.py
@@ -1,8 +1,9 @@
-"""Admission at an instance's door: a bound on requests in progress, shared fairly among callers.
+"""Admission control of an instance: limits the requests in progress and shares them among callers.
 
-While fewer than half of the places are taken, anybody may take one. From then on a caller may hold
-at most an equal share of all places among the callers present, so one caller's burst cannot shut
-the others out, and a single caller alone may still use every place.
+While fewer than half of the limit are in progress, every request is admitted. From then on a caller
+may have at most an equal share of the limit, divided among the callers that have requests in
+progress. So a burst of one caller cannot shut the others out, and a caller that is alone may still
+use the whole limit.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 
 
 class Admission:
-    """Places of one instance.
+    """Requests in progress at one instance, per caller.
 
     Attributes:
-        taken: Requests in progress.
+        in_progress: Number of requests in progress, of all callers.
     """
 
     __slots__ = ("_callers", "_limit", "in_progress")
@@ -27,7 +28,7 @@
         self.in_progress = 0
 
     def try_admit(self, caller: str) -> Reason | None:
-        """Takes a place for a caller; returns why not if there is none for it."""
+        """Admits a request of a caller; returns the reason if it is refused."""
         if self.in_progress >= self._limit:
             return Reason.CONCURRENCY
         if 2 * self.in_progress >= self._limit and self._callers[caller] >= self._fair_share(
@@ -39,16 +40,16 @@
         return None
 
     def release(self, caller: str) -> None:
-        """Gives a place back."""
+        """Notes that an admitted request of a caller has ended."""
         self.in_progress -= 1
         self._callers[caller] -= 1
         if not self._callers[caller]:
             del self._callers[caller]
 
     def count_of(self, caller: str) -> int:
-        """Returns the places that a caller holds."""
+        """Returns how many requests of a caller are in progress."""
         return self._callers.get(caller, 0)
 
     def _fair_share(self, caller: str) -> float:
-        present = len(self._callers) + (0 if self._callers.get(caller) else 1)
-        return self._limit / max(1, present)
+        callers = len(self._callers) + (0 if self._callers.get(caller) else 1)
+        return self._limit / max(1, callers)
--- a/packages/wigeonarch-core/src/wigeonarch_core/backoff.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/backoff.py
@@ -1,7 +1,7 @@
-"""Backoff of loads that fail, per adapter version, with jitter that needs no random source.
+"""Backoff between failed loads of an adapter version, with jitter that needs no random source.
 
-The jitter is a hash of the engine, the adapter version and the number of failures, so engines that
-failed together try again apart from each other, and a replayed run gives the same times.
+The jitter is a hash of the engine, the adapter version and the number of failures. So engines whose
+loads failed at the same time try again at different times, and a replayed run has the same times.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from wigeonarch_core.refs import AdapterVersion
 from wigeonarch_core.rendezvous import score
 
-MIN_JITTER: Final = 0.5
+MIN_JITTER: Final = 0.5  # Smallest share of the backoff that is waited.
 HASH_RANGE: Final = 1 << 64
 
 
@@ -24,7 +24,7 @@
 
 
 class LoadBackoff:
-    """Failed loads of one engine."""
+    """Failed loads of one engine, per adapter version."""
 
     __slots__ = ("_engine", "_failures", "_policy")
 
@@ -34,26 +34,26 @@
         self._failures: dict[AdapterVersion, _Failures] = {}
 
     def may_load(self, target: AdapterVersion, now: float) -> bool:
-        """Tells whether a load may be tried."""
+        """Tells whether a load may be tried now."""
         failures = self._failures.get(target)
         return failures is None or now >= failures.retry_at
 
     def remaining(self, target: AdapterVersion, now: float) -> float:
-        """Returns the seconds until a load may be tried."""
+        """Returns the seconds until a load may be tried again."""
         failures = self._failures.get(target)
         return 0.0 if failures is None else max(0.0, failures.retry_at - now)
 
     def exhausted(self, target: AdapterVersion) -> bool:
-        """Tells whether the load has failed so often in a row that nobody should wait for it."""
+        """Tells whether so many loads failed in a row that no request should wait for another."""
         failures = self._failures.get(target)
         return failures is not None and failures.count >= self._policy.load_attempts
 
     def record_success(self, target: AdapterVersion) -> None:
-        """Forgets earlier failures."""
+        """Forgets the earlier failures of an adapter version."""
         self._failures.pop(target, None)
 
     def record_failure(self, target: AdapterVersion, now: float) -> None:
-        """Counts a failure and sets the time of the next try."""
+        """Counts a failed load and sets the time of the next try."""
         failures = self._failures.setdefault(target, _Failures())
         wait = min(self._policy.load_backoff * 2.0**failures.count, self._policy.load_backoff_limit)
         failures.count += 1
--- a/packages/wigeonarch-core/src/wigeonarch_core/catalogue.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/catalogue.py
@@ -1,12 +1,14 @@
-"""The catalogue aggregate: all entries after some change of the log.
+"""The catalogue: the state of all entries after some change of the change log.
 
-The catalogue is a pure function of the change log: applying change N to the state after N - 1 gives
-the same state, or the same rejection, on every instance. An entry's version is the number of the
-change that last set it, so an expected version names one exact state of the entry. A deleted entry
-leaves no trace but its place in the log; an operation id is remembered for `REMEMBERED` changes, so
-that a repeated operation finds its first outcome.
+The catalogue is a pure function of the change log: applying a change to the state after the change
+before it gives the same new state, or the same rejection, on every instance. The version of an
+entry is the number of the change that last set it, so an expected version identifies one exact
+state of the entry. A deleted entry leaves nothing in the catalogue. The results of the last
+`MAX_REMEMBERED_RESULTS` operations are kept by operation id, so that a repeated operation gets the
+result of its first run.
 
-`applied` never goes down: changes come in order, and a snapshot counts only when it is newer.
+`applied` never decreases: changes are applied in order, and a snapshot replaces the state only if
+it is newer.
 """
 
 from __future__ import annotations
@@ -32,10 +34,10 @@
 
 
 class Catalogue:
-    """State of the catalogue after change `applied`.
+    """State of all entries after change `applied`.
 
     Attributes:
-        applied: Number of the last change in force; 0 before the first.
+        applied: Number of the last applied change; 0 before the first.
         last: Operation id of that change.
     """
 
@@ -45,7 +47,8 @@
         self.applied = 0
         self.last = ""
         self._entries: dict[EntryKey, Stored] = {}
-        # Sorted, so that pages and the entries that belong to another one are ranges.
+        # Sorted, so that a page of entries, or all entries below another one, is a contiguous
+        # range.
         self._names: dict[EntryKind, list[str]] = {kind: [] for kind in EntryKind}
         self._results: OrderedDict[str, Result] = OrderedDict()
 
@@ -53,63 +56,66 @@
         """Applies the next change of the log.
 
         Args:
-            number: Place of the change in the log; must be `applied + 1`.
+            number: Number of the change; must be `applied + 1`.
             change: The change.
 
         Returns:
-            The verdict, remembered under the change's operation id.
+            The result, which is also remembered under the change's operation id. For an operation
+            that was applied before, the result of its first run.
         """
-        assert number == self.applied + 1, f"change {number} after {self.applied}"
+        assert number == self.applied + 1, f"change {number} does not follow change {self.applied}"
         self.applied = number
         self.last = change.operation
-        known = self._results.get(change.operation)
-        if known is not None:
-            return known
+        earlier = self._results.get(change.operation)
+        if earlier is not None:
+            return earlier
         result = self.evaluate(number, change.mutation)
         if result.verdict is Verdict.APPLIED:
-            self._carry_out(number, change.mutation)
+            self._execute(number, change.mutation)
         self._remember(change.operation, result)
         return result
 
     def evaluate(self, number: int, mutation: Mutation) -> Result:
-        """Returns what would become of a mutation as change `number`, without applying it."""
+        """Returns the result that a mutation would have as change `number`, without applying it."""
         if isinstance(mutation, Delete):
-            return self._judge_delete(number, mutation)
+            return self._evaluate_delete(number, mutation)
         key = key_of(mutation.entry)
-        present = self._version(key)
-        if present != mutation.expected:
-            return _conflict(number, key, present, mutation.expected)
+        current = self._current_version(key)
+        if current != mutation.expected:
+            return _conflict(number, key, current, mutation.expected)
         missing = self._missing_parent(mutation.entry)
         if missing is not None:
             message = f"{missing.kind} {missing.name} does not exist; create it first"
-            return Result(number, Verdict.INVALID, present, message)
+            return Result(number, Verdict.INVALID, current, message)
         entry = mutation.entry
         if isinstance(entry, Rule) and not any(split.weight > 0 for split in entry.splits):
-            return Result(number, Verdict.INVALID, present, "a rule needs a weight above 0")
-        known = self._entries.get(key_of(entry))
-        if known is not None and _changes_kind(known.entry, entry):
-            return Result(number, Verdict.INVALID, present, "a service's kind can't be changed")
+            return Result(number, Verdict.INVALID, current, "a rule needs a weight above 0")
+        stored = self._entries.get(key_of(entry))
+        if stored is not None and _changes_kind(stored.entry, entry):
+            return Result(number, Verdict.INVALID, current, "a service's kind can't be changed")
         return Result(number, Verdict.APPLIED, number)
 
     def result_of(self, operation: str) -> Result | None:
-        """Returns what became of an operation, if it is in the remembered part of the log."""
+        """Returns the result of an operation; None if it is not among the remembered ones."""
         return self._results.get(operation)
 
     def result_at(self, number: int) -> Result | None:
-        """Returns what became of a change, if it is in the remembered part of the log."""
-        return next((each for each in self._results.values() if each.number == number), None)
+        """Returns the result of change `number`; None if it is not among the remembered ones."""
+        return next((result for result in self._results.values() if result.number == number), None)
 
     def get(self, key: EntryKey) -> Stored | None:
-        """Returns one entry."""
+        """Returns the entry with a key; None if there is none."""
         return self._entries.get(key)
 
     def service(self, name: str) -> Service | None:
-        """Returns a service by name."""
+        """Returns the service with a name; None if there is none."""
         stored = self._entries.get(EntryKey(EntryKind.SERVICE, name))
         return stored.entry if stored and isinstance(stored.entry, Service) else None
 
     def list(self, kind: EntryKind, after: str, limit: int) -> list[Stored]:
-        """Returns up to `limit` entries of a kind whose names come after `after`, in order."""
+        """Returns up to `limit` entries of a kind, sorted by name, with names that sort after
+        `after`.
+        """
         names = self._names[kind]
         first = bisect.bisect_right(names, after)
         return [self._entries[EntryKey(kind, name)] for name in names[first : first + limit]]
@@ -122,7 +128,11 @@
         return Snapshot(self.applied, self.last, entries, tuple(self._results.items()))
 
     def restore(self, snapshot: Snapshot) -> bool:
-        """Takes over a snapshot if it is newer; an older one never replaces the present state."""
+        """Replaces the state by a newer snapshot.
+
+        Returns:
+            Whether the snapshot was newer; an older one is ignored.
+        """
         if snapshot.applied <= self.applied:
             return False
         self.applied = snapshot.applied
@@ -134,20 +144,20 @@
         self._results = OrderedDict(snapshot.results)
         return True
 
-    def _judge_delete(self, number: int, mutation: Delete) -> Result:
+    def _evaluate_delete(self, number: int, mutation: Delete) -> Result:
         key = mutation.key
-        present = self._version(key)
-        if present != mutation.expected:
-            return _conflict(number, key, present, mutation.expected)
-        if present == 0:
+        current = self._current_version(key)
+        if current != mutation.expected:
+            return _conflict(number, key, current, mutation.expected)
+        if current == 0:
             return Result(number, Verdict.CONFLICT, 0, f"{key.kind} {key.name} does not exist")
         child = self._child_of(key)
         if child is not None:
             message = f"{child.kind} {child.name} still needs it; delete that first"
-            return Result(number, Verdict.INVALID, present, message)
+            return Result(number, Verdict.INVALID, current, message)
         return Result(number, Verdict.APPLIED, 0)
 
-    def _carry_out(self, number: int, mutation: Mutation) -> None:
+    def _execute(self, number: int, mutation: Mutation) -> None:
         if isinstance(mutation, Delete):
             names = self._names[mutation.key.kind]
             del self._entries[mutation.key]
@@ -158,7 +168,7 @@
             bisect.insort(self._names[key.kind], key.name)
         self._entries[key] = Stored(number, mutation.entry)
 
-    def _version(self, key: EntryKey) -> int:
+    def _current_version(self, key: EntryKey) -> int:
         stored = self._entries.get(key)
         return stored.version if stored else 0
 
@@ -166,14 +176,14 @@
         return next((key for key in parents_of(entry) if key not in self._entries), None)
 
     def _child_of(self, key: EntryKey) -> EntryKey | None:
-        """Returns an entry that needs this one."""
-        for child in self._candidates(key):
+        """Returns an entry that depends on this one; None if there is none."""
+        for child in self._possible_children(key):
             if key in parents_of(self._entries[child].entry):
                 return child
         return None
 
-    def _candidates(self, key: EntryKey) -> Iterator[EntryKey]:
-        """Yields the entries that by their names may need this one."""
+    def _possible_children(self, key: EntryKey) -> Iterator[EntryKey]:
+        """Yields the entries that, judging by their names, may depend on this one."""
         if key.kind is EntryKind.SERVICE:
             yield from self._with_prefix(EntryKind.ADAPTER, f"{key.name}/")
         adapter = key.name.partition("@")[0]
@@ -185,10 +195,10 @@
 
     def _with_prefix(self, kind: EntryKind, prefix: str) -> Iterator[EntryKey]:
         names = self._names[kind]
-        for place in range(bisect.bisect_left(names, prefix), len(names)):
-            if not names[place].startswith(prefix):
+        for index in range(bisect.bisect_left(names, prefix), len(names)):
+            if not names[index].startswith(prefix):
                 return
-            yield EntryKey(kind, names[place])
+            yield EntryKey(kind, names[index])
 
     def _remember(self, operation: str, result: Result) -> None:
         self._results[operation] = result
@@ -202,6 +212,6 @@
     return before.kind is not after.kind
 
 
-def _conflict(number: int, key: EntryKey, present: int, expected: int) -> Result:
-    message = f"{key.kind} {key.name} is at version {present}, not {expected}"
-    return Result(number, Verdict.CONFLICT, present, message)
+def _conflict(number: int, key: EntryKey, current: int, expected: int) -> Result:
+    message = f"{key.kind} {key.name} is at version {current}, not {expected}"
+    return Result(number, Verdict.CONFLICT, current, message)
--- a/packages/wigeonarch-core/src/wigeonarch_core/changelog.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/changelog.py
@@ -1,4 +1,4 @@
-"""Elements of the log of changes, and what becomes of them; data only."""
+"""Elements of the change log and the results of applying them; data only."""
 
 from __future__ import annotations
 
@@ -10,14 +10,24 @@
 
 
 class Put(msgspec.Struct, frozen=True, tag=True):
-    """Creates or replaces an entry; `expected` is its present version, 0 for none."""
+    """Creates or replaces an entry.
+
+    Attributes:
+        entry: The new entry.
+        expected: Version that the entry must have now; 0 if it must not exist.
+    """
 
     entry: Entry
     expected: int
 
 
 class Delete(msgspec.Struct, frozen=True, tag=True):
-    """Deletes an entry at version `expected`."""
+    """Deletes an entry.
+
+    Attributes:
+        key: Key of the entry.
+        expected: Version that the entry must have now.
+    """
 
     key: EntryKey
     expected: int
@@ -27,14 +37,19 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One element of the change log."""
+    """One element of the change log.
+
+    Attributes:
+        operation: Operation id, chosen by the caller; a repeated id is applied only once.
+        mutation: What to change.
+    """
 
     operation: str
     mutation: Mutation
 
 
 class Verdict(enum.StrEnum):
-    """What became of a change; the same on every instance."""
+    """Whether a change was applied or why it was rejected; the same on every instance."""
 
     APPLIED = "applied"
     CONFLICT = "conflict"
@@ -42,7 +57,14 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """Verdict on a change, with the entry's version afterwards and why it was rejected."""
+    """Result of a change.
+
+    Attributes:
+        number: Number of the change in the log.
+        verdict: Whether it was applied.
+        version: Version of the entry afterwards; 0 if it does not exist.
+        message: Why the change was rejected.
+    """
 
     number: int
     verdict: Verdict
@@ -51,13 +73,13 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The whole catalogue after change `applied`, as kept in the platform and sent to peers.
+    """The whole catalogue after change `applied`, as stored in the platform and sent to peers.
 
     Attributes:
-        applied: Number of the last change in it.
+        applied: Number of the last change that it contains.
         last: Operation id of that change.
         entries: All entries.
-        results: Operation ids that are remembered, in the order of the log, with their results.
+        results: The remembered operation ids with their results, in the order of the log.
     """
 
     applied: int
--- a/packages/wigeonarch-core/src/wigeonarch_core/circuit.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/circuit.py
@@ -1,8 +1,8 @@
-"""Circuit state per endpoint: whether recent calls say that new ones are worth trying.
+"""Circuit breakers: whether an endpoint's recent failures allow another call to it.
 
-A state table maps (state, event) to the next state. Only failures of the transport count (no
-connection, connection lost, silence); an endpoint that answers, even with an error, is alive. While
-a circuit is open the endpoint is passed over; after a pause with jitter one call may try it.
+A table maps (state, event) to the next state. Only transport failures count: no connection, a lost
+connection, or silence. An endpoint that answers, even with an error, is alive. While its circuit is
+open, an endpoint gets no calls. After a pause with jitter, a single call probes it.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 from wigeonarch_core.retry import full_jitter
 
 FAILURES_TO_OPEN: Final = 3
-MIN_PAUSE: Final = 0.5
-MAX_PAUSE: Final = 15.0
+MIN_PAUSE: Final = 0.5  # Seconds.
+MAX_PAUSE: Final = 15.0  # Seconds.
 
 
 class State(enum.Enum):
     """State of a circuit."""
 
-    CLOSED = "closed"  # Calls go through.
-    OPEN = "open"  # No calls until the pause is over.
-    PROBING = "probing"  # One call is under way to see whether the endpoint is back.
+    CLOSED = "closed"  # Calls are allowed.
+    OPEN = "open"  # No calls are allowed until the pause has passed.
+    PROBING = "probing"  # One call checks whether the endpoint is back.
 
 
 class Event(enum.Enum):
-    """What can happen to a circuit."""
+    """Event that may change the state of a circuit."""
 
     SUCCESS = "success"
-    FAILURE = "failure"  # One too few to open a closed circuit.
-    OPENING_FAILURE = "last_failure"  # The one that opens it.
-    PROBE = "probe"  # The pause is over and a call is tried.
+    FAILURE = "failure"  # Does not reach `FAILURES_TO_OPEN`.
+    OPENING_FAILURE = "last_failure"  # Reaches `FAILURES_TO_OPEN`.
+    PROBE = "probe"  # The pause has passed and a call begins.
 
 
 TRANSITIONS: Final[dict[tuple[State, Event], State]] = {
     (State.CLOSED, Event.SUCCESS): State.CLOSED,
     (State.CLOSED, Event.FAILURE): State.CLOSED,
     (State.CLOSED, Event.OPENING_FAILURE): State.OPEN,
-    # Calls that began before the circuit opened may still end afterwards.
+    # Calls that began before the circuit opened may end while it is open.
     (State.OPEN, Event.SUCCESS): State.CLOSED,
     (State.OPEN, Event.FAILURE): State.OPEN,
     (State.OPEN, Event.OPENING_FAILURE): State.OPEN,
@@ -48,7 +48,7 @@
     (State.PROBING, Event.SUCCESS): State.CLOSED,
     (State.PROBING, Event.FAILURE): State.OPEN,
     (State.PROBING, Event.OPENING_FAILURE): State.OPEN,
-    # The probe was given up on without a verdict: another may follow.
+    # The probe ended without success or failure, so another call becomes the probe.
     (State.PROBING, Event.PROBE): State.PROBING,
 }
 
@@ -71,21 +71,22 @@
         self._circuits: dict[str, _Circuit] = {}
 
     def allows(self, endpoint: str, now: float) -> bool:
-        """Tells whether a call to an endpoint is worth trying; asking changes nothing."""
+        """Tells whether an endpoint may be called now; does not change the circuit."""
         circuit = self._circuits.get(endpoint)
         return circuit is None or circuit.state is State.CLOSED or now >= circuit.retry_at
 
     def retry_after(self, endpoint: str, now: float) -> float:
-        """Returns the seconds until a call to an endpoint may be tried; 0 when it may be now."""
+        """Returns the seconds until an endpoint may be called; 0 if it may be called now."""
         circuit = self._circuits.get(endpoint)
         if circuit is None or circuit.state is State.CLOSED:
             return 0.0
         return max(0.0, circuit.retry_at - now)
 
     def begin_call(self, endpoint: str, now: float) -> None:
-        """Notes that a call begins; it is the probe if the circuit is not closed.
+        """Notes that a call begins; if the circuit is not closed, the call is the probe.
 
-        Until the probe ends, or a pause has passed without its end, no other call is tried.
+        No other call is allowed until the probe ends, or until `MAX_PAUSE` has passed without its
+        end.
         """
         circuit = self._circuits.get(endpoint)
         if circuit is None or circuit.state is State.CLOSED:
@@ -94,28 +95,28 @@
         circuit.retry_at = now + MAX_PAUSE
 
     def record_success(self, endpoint: str) -> None:
-        """Notes that an endpoint answered."""
+        """Closes the circuit of an endpoint that answered."""
         circuit = self._circuits.get(endpoint)
         if circuit is not None:
             self._transition(circuit, Event.SUCCESS)
             del self._circuits[endpoint]
 
     def record_failure(self, endpoint: str, now: float) -> None:
-        """Notes that an endpoint could not be reached, or went silent."""
+        """Notes that an endpoint could not be reached or did not answer in time."""
         circuit = self._circuits.setdefault(endpoint, _Circuit())
         circuit.failures += 1
-        last = circuit.failures >= FAILURES_TO_OPEN
+        opens = circuit.failures >= FAILURES_TO_OPEN
         before = circuit.state
-        self._transition(circuit, Event.OPENING_FAILURE if last else Event.FAILURE)
+        self._transition(circuit, Event.OPENING_FAILURE if opens else Event.FAILURE)
         if circuit.state is State.OPEN and before is not State.OPEN:
-            # At least half of the bound, since a pause near 0 would be no pause.
-            bound = full_jitter(circuit.times_opened, MIN_PAUSE, MAX_PAUSE, self._rng)
-            floor = min(MAX_PAUSE, MIN_PAUSE * 2.0**circuit.times_opened) / 2
-            circuit.retry_at = now + floor + bound / 2
+            # Full jitter alone could give a pause near 0, so half of the bound is always waited.
+            jitter = full_jitter(circuit.times_opened, MIN_PAUSE, MAX_PAUSE, self._rng)
+            half_bound = min(MAX_PAUSE, MIN_PAUSE * 2.0**circuit.times_opened) / 2
+            circuit.retry_at = now + half_bound + jitter / 2
             circuit.times_opened += 1
 
     def forget(self, endpoint: str) -> None:
-        """Forgets an endpoint that is gone."""
+        """Forgets an endpoint that no longer exists."""
         self._circuits.pop(endpoint, None)
 
     def state(self, endpoint: str) -> State:
--- a/packages/wigeonarch-core/src/wigeonarch_core/content_key.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/content_key.py
@@ -1,8 +1,8 @@
-"""What is the same for two attempts of one request: a digest of what it asks for.
+"""Content key of a request: a digest that is the same for all attempts of one request.
 
-Each attempt of a caller has an id of its own and may reach any instance. What is remembered of a
-request beyond one attempt goes by this key. A cryptographic digest keeps callers from making a
-request that is taken for somebody else's.
+When a caller repeats a request, each attempt has an id of its own and may reach any instance. What
+instances remember of a request beyond one attempt is stored under this key. The digest is
+cryptographic, so that no caller can craft a request with the key of another one.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from typing import Final
 
 KEY_BYTES: Final = 12
-SEPARATOR: Final = b"\0"  # It is in no method, host or target, so parts can't run into each other.
+SEPARATOR: Final = b"\0"  # Occurs in no method, host or target, so the parts stay distinct.
 
 
 def content_key(method: str, host: str, target: str, body: bytes) -> str:
-    """Returns the key of a request, in hexadecimal.
+    """Returns the content key of a request, in hexadecimal.
 
     Args:
-        method: Its method.
-        host: The host that it names.
+        method: HTTP method.
+        host: Host that the request names.
         target: Path and query.
-        body: Its body.
+        body: Body of the request.
     """
     digest = hashlib.blake2b(digest_size=KEY_BYTES)
     for part in (method, host.lower(), target):
--- a/packages/wigeonarch-core/src/wigeonarch_core/decisions.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/decisions.py
@@ -1,4 +1,4 @@
-"""What a scheduler decides, as values; the task that owns the engine's connections acts on them."""
+"""Decisions of a scheduler, as values; executed by the task that owns the engine's connections."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """The ask may run now; its adapter version is pinned.
+    """A granted request: it may be sent to the engine, and its adapter version is pinned.
 
     Attributes:
-        ask: The ask.
-        asker: Instance to tell.
-        waited: Seconds the ask waited.
-        stalled: The part of it spent waiting for a load.
+        dispatch_id: Identifies the grant request.
+        requester: Instance to notify.
+        waited: Seconds that the grant request waited.
+        stalled: The part of `waited` that was spent waiting for an adapter load.
     """
 
     dispatch_id: str
@@ -25,13 +25,13 @@
 
 
 class Refuse(msgspec.Struct, frozen=True):
-    """The ask will not be granted here.
+    """A grant request that this owner will not grant.
 
     Attributes:
-        ask: The ask.
-        asker: Instance to tell.
-        reason: Why.
-        retry_after: Seconds after which a new try makes sense.
+        dispatch_id: Identifies the grant request.
+        requester: Instance to notify.
+        reason: Why it is refused.
+        retry_after: Seconds after which the caller should try again.
     """
 
     dispatch_id: str
@@ -41,11 +41,11 @@
 
 
 class Bid(msgspec.Struct, frozen=True):
-    """The load that an engine wants most.
+    """The load that is worth most to an engine; the engines' bids compete for load permits.
 
     Attributes:
         target: Adapter version to load.
-        value: Stall seconds saved per second of weight store.
+        value: Seconds of waiting saved per second of loading from the weight store.
         victim: Adapter version to evict first; None when a slot is free.
     """
 
@@ -55,7 +55,7 @@
 
 
 class StartLoad(msgspec.Struct, frozen=True):
-    """Orders to give to the engine: evict `victim` if there is one, then load `target`."""
+    """Orders for an engine: evict `victim` unless it is None, then load `target`."""
 
     target: AdapterVersion
     victim: AdapterVersion | None
--- a/packages/wigeonarch-core/src/wigeonarch_core/endpoint_health.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/endpoint_health.py
@@ -1,10 +1,11 @@
-"""How far an endpoint is trusted, from what its own answers showed.
-
-Two kinds of evidence are kept apart. Silence and lost connections say that nothing gets through:
-the endpoint is passed over for a pause that doubles, then one request tries it. Failures that it
-answered say that it works badly: their share, compared with its peers of the same service, makes it
-less attractive, but never closes it, as a service may fail a part of its requests by nature.
-Health checks are not used: they are a cost, and an endpoint may pass them while it fails requests.
+"""Health of endpoints, judged by how they respond to this instance's own requests.
+
+Two kinds of evidence are kept apart. Silence and lost connections mean that nothing gets through:
+the endpoint is avoided for a pause that doubles each time, and then one request probes it. Failures
+that the endpoint itself answers mean that it works badly. Their share makes it less attractive than
+its peers of the same service, but never stops requests to it, because a service may fail a part of
+its requests by nature. Health checks are not used: they cost requests, and an endpoint may pass
+them while it fails real requests.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 from dataclasses import dataclass
 from typing import Final
 
-MIN_PAUSE: Final = 0.5  # Seconds; about the objective of the most urgent requests.
-MAX_PAUSE: Final = 4.0  # Seconds; a crashed endpoint is back within a few seconds.
-ANSWER_WEIGHT: Final = 0.15  # Weight of one answer in the failing share: about the last ten count.
+MIN_PAUSE: Final = 0.5  # Seconds; about the latency objective of the most urgent requests.
+MAX_PAUSE: Final = 4.0  # Seconds; a crashed endpoint restarts within a few seconds.
+ANSWER_WEIGHT: Final = 0.15  # Of one response in the failure share: about the last ten count.
 
 
 @dataclass(slots=True)
@@ -27,7 +28,7 @@
 
 
 class EndpointHealth:
-    """Evidence about the endpoints that an instance sends to."""
+    """Health of the endpoints that an instance sends requests to."""
 
     __slots__ = ("_evidence",)
 
@@ -35,21 +36,21 @@
         self._evidence: dict[str, _Evidence] = {}
 
     def is_paused(self, endpoint: str, now: float) -> bool:
-        """Tells whether nothing should be sent to an endpoint now."""
+        """Tells whether an endpoint must not get a request now: it is paused or being probed."""
         found = self._evidence.get(endpoint)
         if found is None or not found.pauses:
             return False
         return now < found.paused_until or found.probing
 
     def record_send(self, endpoint: str, now: float) -> None:
-        """Notes that a request is sent; after a pause it is the one that tries the endpoint."""
+        """Notes that a request is sent; after a pause, it is the probe of the endpoint."""
         found = self._evidence.get(endpoint)
         if found is not None and found.pauses:
             found.probing = True
             found.paused_until = max(found.paused_until, now + MIN_PAUSE)
 
     def record_answer(self, endpoint: str, failed: bool) -> None:
-        """Notes an answer of the endpoint itself."""
+        """Notes a response of the endpoint itself, which ends its pauses."""
         found = self._evidence.setdefault(endpoint, _Evidence())
         found.failure_share += ANSWER_WEIGHT * (float(failed) - found.failure_share)
         found.answers += 1
@@ -57,7 +58,7 @@
         found.probing = False
 
     def end_probe(self, endpoint: str) -> None:
-        """Notes that a try ended without a verdict."""
+        """Notes that a request ended without showing whether the endpoint works."""
         found = self._evidence.get(endpoint)
         if found is not None:
             found.probing = False
@@ -65,17 +66,17 @@
     def record_unreachable(self, endpoint: str, now: float) -> None:
         """Notes that a connection failed, was lost or stayed silent."""
         found = self._evidence.setdefault(endpoint, _Evidence())
-        tried, found.probing = found.probing, False
-        if now < found.paused_until and not tried:
-            return  # Sent before the pause began: no new evidence.
+        was_probe, found.probing = found.probing, False
+        if now < found.paused_until and not was_probe:
+            return  # Sent before the pause began, so it is no new evidence.
         found.paused_until = now + min(MAX_PAUSE, MIN_PAUSE * 2.0**found.pauses)
         found.pauses += 1
 
     def failure_share(self, endpoint: str) -> float:
-        """Returns the recent share of answers that were failures, from 0 to 1."""
+        """Returns the recent share of responses that were failures, from 0 to 1."""
         found = self._evidence.get(endpoint)
         return found.failure_share if found else 0.0
 
     def forget(self, endpoint: str) -> None:
-        """Forgets an endpoint that is gone."""
+        """Forgets an endpoint that no longer exists."""
         self._evidence.pop(endpoint, None)
--- a/packages/wigeonarch-core/src/wigeonarch_core/endpoint_ownership.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/endpoint_ownership.py
@@ -1,25 +1,28 @@
-"""Who may order an endpoint, on endpoints that check nothing.
-
-Each instance has one lease object, each endpoint one holder object; both are written on condition
-of their revision, and the revision of the holder object is the fencing number of the orders. An
-instance orders only while its lease holds on its own clock, which counts suspended time. Another
-one takes an endpoint over only when a fresh read shows the holder's lease unchanged after its end,
-and then orders nothing for a further pause. So two instances never order one endpoint within that
-pause, also when the first was frozen, cut off or only slow.
-
-Heartbeats tell how long a lease has left, so that its end is known without a watch of it in the
-store; the store decides whether it was renewed since. While the store is away, a holder goes on by
-promises of all that could take over (`promises`).
-
-A process that finds its own instance's name in a holder object resumes at once, with a new fencing
-number: it is the same holder. Only where the last process of that name had just taken the endpoint
-over from another one does it wait for the pause, too.
-
-The store may come back from an older copy, in its next era: holder objects and leases of the last
-seconds are gone then, and the objects may name those who held before. So each holder object says in
-which era it was written. Who holds an endpoint writes it again at once and goes on meanwhile; who
-does not, and finds none of this era, can't tell who holds it, and orders nothing until any holder
-has either written it again or stopped: `Era.settled`.
+"""Decides which instance owns an endpoint that does not check fencing tokens.
+
+The owner is the only instance that gives orders to the endpoint. Each instance has a lease object
+in the store, and each endpoint an owner object. Both are written on condition of their revision,
+and the revision of the owner object is the fencing token of the orders. An instance gives orders
+only while its lease is valid by its own clock, which also counts the time while the machine is
+suspended. Another instance takes an endpoint over only after a fresh read has shown that the
+owner's lease, past its end, was not renewed; and then it gives no orders for a further pause. So
+two instances never give orders to one endpoint within that pause, even if the first one was frozen,
+cut off or only slow.
+
+Heartbeats carry the time that a lease has left, so that the others know its end without watching it
+in the store; the store decides whether it has been renewed since. While the store is unreachable,
+an owner goes on by lease support promises from all instances that could take over (see `promises`).
+
+A process that finds its own instance's name in an owner object resumes at once with a new fencing
+token, because it is the same owner. Only if the last process of that name had just taken the
+endpoint over from another instance does it wait for the pause too.
+
+The store may be restored from an older copy; it is then in its next *era*. The owner objects and
+leases of the last seconds are gone then, and the objects may name earlier owners. Therefore each
+owner object contains the era in which it was written. An owner writes its object again at once and
+goes on meanwhile. An instance that is not the owner, and finds no object of this era, can't tell
+who the owner is. It gives no orders until any owner of the era before has either written its object
+again or stopped (`Era.settled_at`).
 """
 
 from __future__ import annotations
@@ -32,44 +35,52 @@
 
 from wigeonarch_core.rendezvous import ranked
 
-NEVER: Final = float("-inf")  # Before all times.
-UNKNOWN_ERA: Final = -1  # Before all eras.
-FIRST_ERA: Final = 0  # Of a store that never came back from a copy.
-# Seconds in which a holder goes on by what it wrote in an earlier era, until it is written again.
+NEVER: Final = float("-inf")  # Earlier than any time, in seconds.
+UNKNOWN_ERA: Final = -1  # Earlier than any era.
+FIRST_ERA: Final = 0  # Era of a store that was never restored from a copy.
+# Seconds for which an owner may go on by the object that it wrote in the previous era, until it has
+# written the object again.
 REWRITE_GRACE: Final = 1.0
 
 
 @dataclass(slots=True)
 class Era:
-    """The store's era, as an instance sees it.
+    """The store's era, as this instance sees it.
 
     Attributes:
         number: Its number.
-        since: Time at which it was seen to begin. A process that starts in one that is not the
-            store's first can't tell how long ago it began, and takes it for new.
+        since: Time at which this instance saw it begin, in seconds. A process that starts in an era
+            that is not the store's first can't tell how long ago it began, so it takes the era as
+            just begun.
     """
 
     number: int = UNKNOWN_ERA
     since: float = NEVER
 
     def observe(self, number: int, now: float) -> None:
-        """Notes the era that the store is in."""
+        """Records the era that the store is in."""
         if number > self.number:
             self.since = NEVER if number == FIRST_ERA else now
             self.number = number
 
     def settled_at(self, term: float, margin: float, pause: float) -> float:
-        """Returns the time from which no holder of the era before can be in the way.
+        """Returns the time from which no owner of the previous era can be giving orders.
 
-        One that reached the store until the era began holds for a term more, hears of the era by
-        its next renewal at the latest, and then stops unless its object is written again.
+        An owner that reached the store until the era began keeps its lease for one more term and
+        learns of the era by its next renewal at the latest. Then it stops unless its object is
+        written again.
+
+        Args:
+            term: Term of a lease, in seconds.
+            margin: Allowance for differences in clock rates, in seconds.
+            pause: Seconds without orders after a takeover.
         """
         return self.since + term + margin + REWRITE_GRACE + pause
 
     def must_stop(self, written: int, now: float) -> bool:
-        """Tells whether a holder must stop that wrote its object in an earlier era.
+        """Returns whether an owner that wrote its object in era `written` must stop.
 
-        One that did not write it in the era between may have had to stop in that.
+        If it skipped an era, it must stop at once: in that era it may already have had to stop.
         """
         if written == self.number - 1:
             return now >= self.since + REWRITE_GRACE
@@ -77,14 +88,15 @@
 
 
 class EndpointOwner(msgspec.Struct, frozen=True):
-    """Who holds an endpoint, by the store.
+    """An endpoint's owner, by its owner object in the store.
 
     Attributes:
         endpoint: The endpoint.
-        holder: The instance that may order it.
-        revision: Revision of the object, which is the fencing number.
-        taken_over: Whether the object was last written when it was taken over from another one.
-        current: Whether it was written in the store's present era.
+        owner: The instance that may give orders to it.
+        revision: Revision of the object, which is the fencing token.
+        taken_over: Whether the last write of the object took the endpoint over from another
+            instance.
+        in_current_era: Whether the object was written in the store's current era.
     """
 
     endpoint: str
@@ -95,14 +107,14 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """Write the holder object on condition of its revision (0: absent).
+    """A write of the owner object on condition of its revision.
 
     Attributes:
         endpoint: The endpoint.
-        revision: Revision that the object must have.
+        revision: Revision that the object must have; 0 if it must not exist.
         pause: Seconds after the write in which nothing may be ordered.
-        settled: Whether no holder of an earlier era can be in the way; if not, nothing may be
-            ordered before `Era.settled` either.
+        no_earlier_owner: Whether no owner of an earlier era can still be giving orders. If not,
+            nothing may be ordered before `Era.settled_at` either.
     """
 
     endpoint: str
@@ -112,46 +124,46 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _LeaseState:
     revision: int
-    ends: float
-    read: float = float("-inf")
+    ends_at: float
+    read_at: float = float("-inf")
 
 
 class ObservedLeases:
-    """Leases of other instances, as their heartbeats tell and as read from the store."""
+    """Leases of the other instances, from their heartbeats and from reads of the store."""
 
     __slots__ = ("_leases", "_margin", "_term")
 
     def __init__(self, term: float, margin: float) -> None:
         self._term = term
         self._margin = margin
-        self._leases: dict[str, _Seen] = {}
+        self._leases: dict[str, _LeaseState] = {}
 
     def record_heartbeat(self, instance: str, revision: int, left: float, now: float) -> None:
-        """Notes what a heartbeat tells: the lease's revision, and the seconds that it has left."""
-        seen = self._leases.get(instance)
-        if seen is None or revision > seen.revision:
-            self._leases[instance] = _Seen(revision, now + left)
-        elif revision == seen.revision:
-            # Promises extend a lease without a write.
-            seen.ends = max(seen.ends, now + left)
+        """Records what a heartbeat says of a lease: its revision and the seconds it has left."""
+        lease = self._leases.get(instance)
+        if lease is None or revision > lease.revision:
+            self._leases[instance] = _LeaseState(revision, now + left)
+        elif revision == lease.revision:
+            # Lease support promises extend a lease without a write to the store.
+            lease.ends_at = max(lease.ends_at, now + left)
 
     def record_read(self, instance: str, revision: int, now: float) -> None:
-        """Notes the revision of a lease that was just read; 0 when it does not exist."""
-        seen = self._leases.get(instance)
-        if seen is None or revision > seen.revision:
-            seen = self._leases[instance] = _Seen(revision, now + self._term)
-        seen.read = now
+        """Records the revision of a lease just read from the store; 0 if it does not exist."""
+        lease = self._leases.get(instance)
+        if lease is None or revision > lease.revision:
+            lease = self._leases[instance] = _LeaseState(revision, now + self._term)
+        lease.read_at = now
 
     def has_lapsed(self, instance: str) -> bool:
-        """Tells whether a read after the end of the lease showed it unchanged."""
-        seen = self._leases.get(instance)
-        return seen is not None and seen.read > seen.ends + self._margin
+        """Returns whether a read after the end of the lease showed that it was not renewed."""
+        lease = self._leases.get(instance)
+        return lease is not None and lease.read_at > lease.ends_at + self._margin
 
 
 def preferred_owner(endpoint: str, instances: list[str]) -> str | None:
-    """Returns the instance that should hold an endpoint that nobody holds."""
+    """Returns the instance that should own an unowned endpoint; None if there are no instances."""
     return ranked(endpoint, instances)[0] if instances else None
 
 
@@ -166,27 +178,27 @@
     pause: float,
     owned_throughout: bool = False,
 ) -> Claim | None:
-    """Returns the write that this instance should try for an endpoint, if any.
+    """Returns the write that this instance should try in order to own an endpoint, if any.
 
     Args:
         endpoint: The endpoint.
-        record: Its holder object, None when there is none.
-        me: This instance.
-        confirmed: Whether this process wrote the object in the present stretch of its lease, and in
-            the store's present era.
-        alive: Instances that say that their lease holds, and those with a promise.
-        candidates: Instances that may take the endpoint, this one included if it may.
-        observed: Leases of the other instances, as read.
+        record: Its owner object; None if there is none.
+        own_name: This instance.
+        confirmed: Whether this process wrote the object since its lease last lapsed, and in the
+            store's current era.
+        alive: Instances that say that their lease is valid, and those with a lease support promise.
+        candidates: Instances that may take the endpoint, including this one if it may.
+        leases: Leases of the other instances.
         pause: Seconds without orders after a takeover.
-        keeps: Whether this process has held the endpoint in the present stretch of its lease all
-            along, whatever the store has of it.
+        owned_throughout: Whether this process has owned the endpoint without a break, and its lease
+            has not lapsed meanwhile, whatever the store says.
     """
     if owned_throughout and not confirmed and (record is None or not record.in_current_era):
         return Claim(endpoint, record.revision if record else 0, 0.0)
     if record is not None and record.owner == own_name:
-        settled = record.in_current_era and not record.taken_over
-        wait = 0.0 if settled else pause
-        return None if confirmed else Claim(endpoint, record.revision, wait, settled)
+        no_earlier_owner = record.in_current_era and not record.taken_over
+        wait = 0.0 if no_earlier_owner else pause
+        return None if confirmed else Claim(endpoint, record.revision, wait, no_earlier_owner)
     if preferred_owner(endpoint, candidates) != own_name:
         return None
     if record is None:
--- a/packages/wigeonarch-core/src/wigeonarch_core/engine_choice.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/engine_choice.py
@@ -1,9 +1,10 @@
-"""Which engine should run a generation: the one that is expected to give the first token first.
+"""Choice of the engine for a generation: the one with the least expected wait for the first token.
 
-The expectation adds what has to happen before the first token: the adapter's load, if the engine
-does not hold it; the prompts that are read before this one; the way to another availability zone;
-and what recent failures make likely. Copies of an adapter thus spread by themselves: as soon as the
-queue before the engine that holds it costs more than a load elsewhere, the load wins.
+The expected wait adds up what must happen before the first token: the load of the adapter, if the
+engine does not hold it, and the prefill of the prompts ahead. Crossing to another availability
+zone, recent failures and other costs are added as seconds of waiting. Copies of a popular adapter
+spread without a rule of their own: as soon as the queue of the engine that holds the adapter costs
+more than a load elsewhere, the load is chosen.
 """
 
 from __future__ import annotations
@@ -15,66 +16,68 @@
 
 from wigeonarch_core.load_time import COLD_LOAD, WARM_LOAD
 
-# Adapters on their way to one engine at once; engines refuse more.
+# Adapters that one engine loads at the same time; engines refuse more.
 MAX_CONCURRENT_LOADS: Final = 4
-# What a load costs besides its time, in seconds of waiting. A fetch has a price of its own: about
-# a third of what an answer in time is worth, and waiting becomes lateness within a second.
+# Cost of a load besides its duration, in seconds of waiting. A load from the weight store costs
+# about a third of what a response in time is worth, and a second of waiting makes it late.
 WARM_LOAD_COST: Final = 0.03
 COLD_LOAD_COST: Final = 0.3
-# An old version can be replaced only when no request uses it, which takes a second or two.
+# Seconds. An old version can be replaced only when no request uses it, which takes a second or two.
 REPLACE_COST: Final = 0.6
-# Prompt tokens that an engine reads in a second, and what each running request adds to a step:
-# only the order of engines depends on them, so a rough value does.
-PREFILL_RATE: Final = 19_000.0
-STEP_TIME_PER_REQUEST: Final = 0.003
-# Seconds that a request runs, about: both users' streams take one to three.
+# Rough values are enough here, as only the order of the engines depends on them.
+PREFILL_RATE: Final = 19_000.0  # Prompt tokens per second.
+STEP_TIME_PER_REQUEST: Final = 0.003  # Seconds that each running request adds to the wait.
+# Typical seconds that a request runs; streams take one to three.
 TYPICAL_RUN_TIME: Final = 2.0
-# What the traffic between availability zones is worth, in seconds of waiting; a cut between zones
-# also loses the streams that cross it.
+# Cost of sending a request to another availability zone, in seconds of waiting: for the traffic,
+# and because a network partition between the zones would break the stream.
 CROSS_ZONE_COST: Final = 0.05
-# What it is worth not to make a stream pause for longer than allowed, in seconds of waiting.
-# Engines read prompts between the tokens of running requests; where prompts that take about the
-# longest pause are sent within that time, all streams there are late. Worth more, it would buy
-# loads elsewhere that serve nobody sooner.
-STALL_COST: Final = 0.01  # A stream, where all of the longest pause is read.
-MAX_STALL_FACTOR: Final = 4.0
-# Part of the longest pause that prompts sent lately may take until the next one is held back.
+# Cost of making running streams pause, in seconds of waiting. Engines process prompts between the
+# tokens of running requests, so prompts whose prefill takes about the longest allowed pause, sent
+# within that time, make all streams there late. A higher cost would cause loads on other engines
+# that serve no request sooner.
+STALL_COST: Final = 0.01  # Per stream, at a stall ratio of 1.
+MAX_STALL_FACTOR: Final = 4.0  # Greatest multiple of `STALL_COST` per stream.
+# Stall ratio of the recent prompts above which the next prompt is held back.
 CROWDED_STALL_RATIO: Final = 0.6
-# An engine whose KV cache is nearly full preempts requests, which then start anew.
-KV_CACHE_FULL: Final = 0.88
-KV_CACHE_FULL_COST: Final = 2.0
-FAILURE_COST: Final = 1.0
-# Streams of an engine five times slower than usual are mostly late by their pauses, which is
-# worth about as much as a load elsewhere costs.
+# An engine whose KV cache is nearly full preempts requests, which then start again.
+KV_CACHE_FULL: Final = 0.88  # Share of the cache from which the cost applies.
+KV_CACHE_FULL_COST: Final = 2.0  # Seconds of waiting.
+FAILURE_COST: Final = 1.0  # Seconds of waiting, at a failure share of 1.
+# Seconds of waiting per unit of slowness beyond 1. At five times the usual latency, most streams
+# pause for too long, which is as bad as the cost of a load on another engine.
 SLOWNESS_COST: Final = 0.1
-# Places are short when hardly any copy can go. A load that finds none waits for a running request
-# to end, which takes seconds; the cost rises over the last few, so that engines fill up evenly.
-NO_PLACE_COST: Final = 1.0
-SCARCE_PLACES: Final = 4
+# Cost of a load when few places are free. A load that finds no free place waits for a running
+# request to end, which takes seconds. The cost rises over the last few places, so that engines
+# fill up evenly.
+NO_PLACE_COST: Final = 1.0  # Seconds of waiting, when no place is free.
+SCARCE_PLACES: Final = 4  # Free places below which the cost applies.
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an instance believes of one engine when it has to choose.
+    """What an instance knows of one engine when it chooses.
 
     Attributes:
         endpoint: Id of the engine.
         same_zone: Whether it is in the instance's availability zone.
         holds: Whether it holds the adapter version, or none is needed.
-        loading_left: Seconds until a load of it that is under way ends; None if there is none.
-        warm: Whether it held the adapter recently.
+        loading_left: Seconds until a load of the adapter that is in progress ends; None if there is
+            none.
+        warm: Whether it held the adapter recently, which makes a load faster.
+        replaces: Whether the load replaces another version of the adapter.
         loadable: Whether its owner can be asked for a load.
-        free_places: Adapter places that are empty or idle.
-        loading: Adapters on their way to it.
-        waiting_tokens: Prompt tokens sent to it whose first token has not come.
+        free_places: Places for adapters that are empty or hold an unused adapter.
+        loading: Number of adapters being loaded.
+        waiting_tokens: Prompt tokens sent to it whose requests have no first token yet.
         running: Requests sent to it that have not ended.
-        batch: Requests that it runs at once.
-        kv_tokens: Tokens that those may take in its KV cache.
-        kv_total: Tokens that fit.
+        batch: Requests that it can run at the same time.
+        kv_tokens: Tokens that the running requests may occupy in its KV cache.
+        kv_total: Tokens that fit into its KV cache; 0 if unknown.
         failing: Recent share of failures, from 0 to 1.
-        load_time: Seconds of a load that must be fetched, while few others are.
+        load_time: Seconds of a load from the weight store while few others are in progress.
         slowness: How many times as long as usual it takes until first tokens; 1 if not far slower.
         recent_tokens: Prompt tokens sent to it lately, by all instances.
-        largest_pause: Longest pause between a stream's events that is in time; 0 if none.
+        largest_pause: Longest allowed pause between events of a stream, in seconds; 0 if unlimited.
     """
 
     endpoint: str
@@ -99,13 +102,13 @@
 
 
 class EngineChoice(msgspec.Struct, frozen=True):
-    """An engine to send to, or to ask for a load.
+    """An engine to send a request to, or to ask for a load.
 
     Attributes:
-        endpoint: The engine.
+        endpoint: Id of the engine.
         load: Whether the adapter must be loaded first.
-        expected: What the choice went by, in seconds of waiting.
-        crowded: Whether streams there would pause for too long, were a prompt sent now.
+        expected: Expected wait including all costs, in seconds.
+        crowded: Whether another prompt sent now would make streams there pause for too long.
     """
 
     endpoint: str
@@ -122,26 +125,30 @@
     Args:
         states: Engines that may be used.
         prompt_tokens: Length of the prompt.
-        draw: Returns seconds to add to an expectation. What others have under way is known with a
-            lag; without chance, all instances would send to the same engine until the next news.
+        draw: Returns seconds to add to an expected wait. Requests of other instances are known with
+            a lag; without randomness, all instances would send to the same engine until the next
+            update.
     """
     states = list(states)
-    unavoidable = _least_stall_costs(states, prompt_tokens)
+    least_costs = _least_stall_costs(states, prompt_tokens)
     expected = [
         (choice, state)
         for state in states
-        if (choice := _estimate(state, prompt_tokens, unavoidable[state.holds, state.same_zone]))
+        if (choice := _estimate(state, prompt_tokens, least_costs[state.holds, state.same_zone]))
     ]
     if not expected:
         return None
     _, best = min(expected, key=lambda pair: pair[0].expected)
-    # Chance decides among engines that are alike: it buys no load and no way between zones.
+    # Randomness decides only among comparable engines, so it causes no load and no zone crossing.
     alike = [choice for choice, state in expected if _cost_class(state) == _cost_class(best)]
     return min(alike, key=lambda choice: choice.expected + draw())
 
 
 def _cost_class(state: EngineState) -> tuple[bool, bool, bool, bool]:
-    """Returns what makes engines alike: what sending there costs besides waiting."""
+    """Returns what a send to an engine costs besides waiting.
+
+    Randomness chooses only among engines for which this is equal.
+    """
     return state.holds, state.loading_left is not None, state.warm, state.same_zone
 
 
@@ -152,17 +159,18 @@
     keep_waiting: bool,
     draw: Callable[[], float] = lambda: 0.0,
 ) -> EngineChoice | None:
-    """Returns the best engine for a request that may have asked one for a load already.
+    """Returns the best engine for a request that may already have caused a load request.
 
-    While it is patient it stays with that one, so that no two engines load for one request;
-    afterwards it prefers others. An engine that can't load any more binds nobody.
+    While `keep_waiting` is true the choice stays with the engine that was asked, so that no two
+    engines load the adapter for one request; afterwards it prefers other engines. An engine that
+    can no longer load does not restrict the choice.
 
     Args:
         states: Engines that may be used.
         prompt_tokens: Length of the prompt.
-        asked: Engine that was asked for a load; empty if none was.
-        patient: Whether that was just now.
-        draw: As for `choose`.
+        loading_engine: Engine that was asked for a load; empty if none was.
+        keep_waiting: Whether it was asked so recently that the request should wait for it.
+        draw: As for `choose_engine`.
     """
     if not loading_engine:
         return choose_engine(states, prompt_tokens, draw)
@@ -175,21 +183,23 @@
 def _least_stall_costs(
     states: Iterable[EngineState], prompt_tokens: int
 ) -> dict[tuple[bool, bool], float]:
-    """Returns the least that pauses cost among engines that are alike, by what makes them so.
+    """Returns the least stall cost within each group of comparable engines.
 
-    Those are alike that hold the adapter or lack it, in this availability zone or another. Only
-    what lies beyond the least is weighed, so that prompts are spread over engines that are alike,
-    and pauses buy no load and no bytes between zones.
+    Engines are comparable that both hold or both lack the adapter, and are both in this
+    availability zone or both in another. Only the cost beyond the least one is counted. So prompts
+    are spread over comparable engines, but stalls cause neither loads nor traffic between zones.
     """
     least: dict[tuple[bool, bool], float] = {}
     for state in states:
-        alike = state.holds, state.same_zone
-        least[alike] = min(least.get(alike, float("inf")), _stall_cost(state, prompt_tokens))
+        group = state.holds, state.same_zone
+        least[group] = min(least.get(group, float("inf")), _stall_cost(state, prompt_tokens))
     return least
 
 
-def _estimate(state: EngineState, prompt_tokens: int, unavoidable: float) -> EngineChoice | None:
-    load = price = 0.0
+def _estimate(
+    state: EngineState, prompt_tokens: int, least_stall_cost: float
+) -> EngineChoice | None:
+    load = cost = 0.0
     if not state.holds:
         if state.loading_left is not None:
             load = state.loading_left
@@ -197,59 +207,59 @@
             return None
         else:
             load = state.load_time * (WARM_LOAD / COLD_LOAD if state.warm else 1.0)
-            price = WARM_LOAD_COST if state.warm else COLD_LOAD_COST
-            price += REPLACE_COST if state.replaces else 0.0
-            # What is loaded next waits for those that are on their way, four at a time.
+            cost = WARM_LOAD_COST if state.warm else COLD_LOAD_COST
+            cost += REPLACE_COST if state.replaces else 0.0
+            # A new load waits for those in progress, of which `MAX_CONCURRENT_LOADS` run at a time.
             load += state.load_time * (state.loading // MAX_CONCURRENT_LOADS)
-            short = max(0, SCARCE_PLACES - state.free_places) / SCARCE_PLACES
-            price += NO_PLACE_COST * short * short
-    reading = state.slowness * (state.waiting_tokens + prompt_tokens) / PREFILL_RATE
-    wait = max(load + state.slowness * prompt_tokens / PREFILL_RATE, reading)
-    # Running requests slow each step while prompts are read piece by piece.
+            shortage = max(0, SCARCE_PLACES - state.free_places) / SCARCE_PLACES
+            cost += NO_PLACE_COST * shortage * shortage
+    prefill = state.slowness * (state.waiting_tokens + prompt_tokens) / PREFILL_RATE
+    wait = max(load + state.slowness * prompt_tokens / PREFILL_RATE, prefill)
+    # Running requests slow down each step while prompts are processed in chunks.
     wait += state.slowness * STEP_TIME_PER_REQUEST * state.running
-    # Requests beyond the batch wait until others end.
+    # Requests that exceed the batch wait until others end.
     wait += state.slowness * TYPICAL_RUN_TIME * batch_excess(state.running, state.batch)
-    price += SLOWNESS_COST * (state.slowness - 1.0)
+    cost += SLOWNESS_COST * (state.slowness - 1.0)
     if not state.same_zone:
         wait += CROSS_ZONE_COST
     if state.kv_total and state.kv_tokens + prompt_tokens > KV_CACHE_FULL * state.kv_total:
         wait += KV_CACHE_FULL_COST
-    wait += price + FAILURE_COST * state.failing
-    wait += _stall_cost(state, prompt_tokens) - unavoidable
+    wait += cost + FAILURE_COST * state.failing
+    wait += _stall_cost(state, prompt_tokens) - least_stall_cost
     crowded = state.running > 0 and stall_ratio(state, 0) > CROWDED_STALL_RATIO
     return EngineChoice(state.endpoint, not state.holds, wait, crowded)
 
 
 def batch_excess(running: int, batch: int) -> float:
-    """Returns the requests beyond an engine's batch, were one more sent, in batches."""
+    """Returns how far one more request would exceed an engine's batch, in multiples of it."""
     return max(0, running + 1 - batch) / max(1, batch)
 
 
 def expected_first_token(
     waiting_tokens: float, prompt_tokens: int, running: int, batch: int
 ) -> float:
-    """Returns the expected seconds until a request's first token at an engine that is as usual.
+    """Returns the expected seconds until a request's first token at an engine of usual speed.
 
     Args:
-        waiting_tokens: Prompt tokens that are read before its own.
+        waiting_tokens: Prompt tokens that are processed before its own.
         prompt_tokens: Length of its prompt.
-        running: Requests there.
-        batch: Requests that run at once.
+        running: Requests at the engine.
+        batch: Requests that it can run at the same time.
     """
-    reading = (waiting_tokens + prompt_tokens) / PREFILL_RATE
+    prefill = (waiting_tokens + prompt_tokens) / PREFILL_RATE
     return (
-        reading + STEP_TIME_PER_REQUEST * running + TYPICAL_RUN_TIME * batch_excess(running, batch)
+        prefill + STEP_TIME_PER_REQUEST * running + TYPICAL_RUN_TIME * batch_excess(running, batch)
     )
 
 
 def stall_ratio(state: EngineState, prompt_tokens: int) -> float:
-    """Returns how much of the longest pause in time is read there, were a prompt sent now."""
+    """Returns the prefill time of the recent prompts and this one, per longest allowed pause."""
     if not state.largest_pause:
         return 0.0
     return (state.recent_tokens + prompt_tokens) / PREFILL_RATE / state.largest_pause
 
 
 def _stall_cost(state: EngineState, prompt_tokens: int) -> float:
-    """Returns what the pauses of running streams cost that a prompt adds to."""
-    part = stall_ratio(state, prompt_tokens)
-    return STALL_COST * state.running * min(MAX_STALL_FACTOR, part * part)
+    """Returns the cost of the pauses that a prompt adds to the running streams."""
+    ratio = stall_ratio(state, prompt_tokens)
+    return STALL_COST * state.running * min(MAX_STALL_FACTOR, ratio * ratio)
--- a/packages/wigeonarch-core/src/wigeonarch_core/engine_places.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/engine_places.py
@@ -1,10 +1,11 @@
-"""Adapter places of one engine, as its owner orders them.
-
-The owner is the only one that orders, one order after the other, each with the sequence number that
-the engine is expected to have. An order that takes effect moves the number on, so an order whose
-answer was lost can take effect only before the next one does, never after it: the engine checks the
-number when it carries the order out. After a lost answer the owner reads the engine's report and
-goes on from what that shows; places whose state is not known count as taken until then.
+"""Adapter places of one engine, as its owner tracks them; a place holds or loads one adapter.
+
+Only the owner sends load and unload orders to the engine, one at a time, each with the sequence
+number that the engine should have reached. An order that takes effect increments the engine's
+number, and the engine checks the number when it executes an order. So an order whose response was
+lost can take effect only before the next order does, never after it. After a lost response the
+owner reads the engine's report and continues from there; until then, places of unknown state count
+as taken.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
 from wigeonarch_core.rates import DecayedCounts
 
-RATE_HALF_LIFE: Final = 12.0  # Seconds; demand moves to other adapters within several of these.
-MAX_RATES: Final = 4000
-# A load that takes this many seconds longer than expected is looked for in a report.
+RATE_HALF_LIFE: Final = 12.0  # Seconds; the adapters in demand change within several half-lives.
+MAX_RATES: Final = 4000  # Adapters whose rate of use is remembered.
+# Seconds that a load may be late before its state must be read from a report.
 MAX_LOAD_DELAY: Final = 0.5
-# A copy stays this many seconds after its load, as the request that wanted it is on its way.
+# Seconds that a copy stays after its load, as the request that needs it is still on its way.
 MIN_RESIDENCE: Final = 0.4
 
 
@@ -31,9 +32,9 @@
 
 
 class AdapterKey(msgspec.Struct, frozen=True, order=True):
-    """An adapter of a base model at a version.
+    """A version of an adapter of a base model.
 
-    As a wish, version 0 means any; as a copy, that its version is not known yet.
+    In a load request, version 0 means any version; in a copy, it means that the version is unknown.
     """
 
     model: str
@@ -42,17 +43,17 @@
 
     @property
     def name(self) -> AdapterName:
-        """Returns the model and the adapter."""
+        """Returns the model and adapter names."""
         return (self.model, self.adapter)
 
 
 def satisfies(held_version: int, wanted_version: int) -> bool:
-    """Tells whether a copy of one version serves a request for another; 0 wants any."""
+    """Tells whether a copy of one version serves a request for another; 0 requests any version."""
     return wanted_version in (0, held_version)
 
 
 class PlaceState(enum.Enum):
-    """What a place is doing."""
+    """State of a place that is taken."""
 
     LOADING = "loading"
     READY = "ready"
@@ -60,13 +61,13 @@
 
 @dataclass(slots=True)
 class Place:
-    """One taken place.
+    """A place that is taken.
 
     Attributes:
-        version: Version of the copy; 0 when it is not known.
-        state: What the place is doing.
-        since: Time of the last change, in seconds.
-        ready_at: Time at which the copy can be used, in seconds.
+        version: Version of the copy; 0 if unknown.
+        state: Whether the copy is being loaded or can be used.
+        since: Time of the last state change, in seconds.
+        ready_at: Time from which the copy is expected to be usable, in seconds.
     """
 
     version: int
@@ -79,12 +80,18 @@
     """The adapter places of one engine.
 
     Attributes:
-        capacity: Adapters that fit; loads under way count.
+        capacity: Adapters that fit, including those being loaded.
     """
 
     __slots__ = ("_host_cache", "_host_limit", "_places", "_rates", "_used_at", "capacity")
 
     def __init__(self, capacity: int, host_limit: int) -> None:
+        """Starts with all places empty.
+
+        Args:
+            capacity: Adapters that fit, including those being loaded.
+            host_limit: Adapters that the engine keeps in host memory, from where a load is faster.
+        """
         self.capacity = capacity
         self._places: dict[AdapterName, Place] = {}
         self._rates: DecayedCounts[AdapterName] = DecayedCounts(RATE_HALF_LIFE, MAX_RATES)
@@ -98,12 +105,12 @@
         self._used_at[name] = now
 
     def holds(self, key: AdapterKey) -> bool:
-        """Tells whether a copy is there or on its way."""
+        """Tells whether a matching copy is loaded or being loaded."""
         place = self._places.get(key.name)
         return place is not None and satisfies(place.version, key.version)
 
     def is_ready(self, key: AdapterKey, now: float) -> bool:
-        """Tells whether a copy can be used."""
+        """Tells whether a matching copy can be used."""
         self._complete_loads(now)
         place = self._places.get(key.name)
         return self.holds(key) and place is not None and place.state is PlaceState.READY
@@ -113,12 +120,12 @@
         return name in self._places
 
     def copy_of(self, name: AdapterName) -> AdapterKey | None:
-        """Returns the copy of an adapter, of whatever version."""
+        """Returns the copy of an adapter, of any version; None if there is none."""
         place = self._places.get(name)
         return None if place is None else AdapterKey(*name, place.version)
 
     def is_warm(self, name: AdapterName) -> bool:
-        """Tells whether the engine held the adapter recently."""
+        """Tells whether the engine held the adapter recently, so that a load is faster."""
         return name in self._host_cache
 
     def ready_copies(self, now: float) -> list[AdapterKey]:
@@ -131,7 +138,7 @@
         ]
 
     def loading_copies(self, now: float) -> list[tuple[AdapterKey, float]]:
-        """Returns the copies under way, each with the seconds left."""
+        """Returns the copies being loaded, each with the seconds left."""
         self._complete_loads(now)
         return [
             (AdapterKey(*name, place.version), max(0.0, place.ready_at - now))
@@ -140,22 +147,24 @@
         ]
 
     def loading_count(self, now: float) -> int:
-        """Returns the number of copies under way."""
+        """Returns the number of copies being loaded."""
         return len(self.loading_copies(now))
 
     def free_count(self) -> int:
-        """Returns the empty places."""
+        """Returns the number of empty places."""
         return self.capacity - len(self._places)
 
     def choose_victim(
         self, protected: Collection[AdapterName], outdated: Collection[AdapterName], now: float
     ) -> AdapterKey | None:
-        """Returns the copy to do without, or None when all are in use or just came.
+        """Returns the copy to evict, or None if all copies are in use or were loaded just now.
+
+        Outdated copies go first, then those of the adapters that are used least.
 
         Args:
-            spared: Adapters that requests use or wait for.
+            protected: Adapters that requests use or wait for.
             outdated: Adapters whose copies are of versions that no new request may use.
-            now: Time, in seconds.
+            now: Current time, in seconds.
         """
         self._complete_loads(now)
         idle = [
@@ -171,12 +180,12 @@
         return AdapterKey(*name, self._places[name].version)
 
     def evictable_count(self, in_use: Collection[AdapterName], now: float) -> int:
-        """Returns the places that are empty or could be made so."""
+        """Returns the number of places that are empty or hold an adapter not in use."""
         ready = [key for key in self.ready_copies(now) if key.name not in in_use]
         return self.free_count() + len(ready)
 
     def begin_load(self, key: AdapterKey, now: float, duration: float) -> None:
-        """Notes that a load was accepted and takes about so many seconds."""
+        """Notes that the engine accepted a load that takes about `duration` seconds."""
         self._places[key.name] = Place(key.version, PlaceState.LOADING, now, now + duration)
         self._note_in_host_memory(key.name)
 
@@ -186,10 +195,15 @@
         self._note_in_host_memory(key.name)
 
     def extend_load(self, name: AdapterName, now: float, delay: float) -> bool:
-        """Notes that a copy that should be there is not; returns whether it may still be coming.
+        """Notes that a copy is later than expected; returns whether it may still be loading.
+
+        A load counts as late until `MAX_LOAD_DELAY` after its expected end; then only a report can
+        show what became of it.
 
-        A load is taken to be late for so long after the time at which it was expected; after that
-        only a report can tell what became of it.
+        Args:
+            name: The adapter.
+            now: Current time, in seconds.
+            delay: Seconds from now until the copy is expected.
         """
         self._complete_loads(now)
         place = self._places.get(name)
@@ -206,12 +220,12 @@
     def adopt_report(
         self, loaded: Iterable[AdapterKey], loading: Iterable[AdapterKey], now: float
     ) -> None:
-        """Takes over what a report shows that was sampled after the last order."""
-        held_now = {key.name: key for key in loaded}
-        coming = {key.name: key for key in loading if key.name not in held_now}
-        for name in [name for name in self._places if name not in held_now | coming]:
+        """Adopts the state in a report that was sampled after the last order."""
+        held = {key.name: key for key in loaded}
+        coming = {key.name: key for key in loading if key.name not in held}
+        for name in [name for name in self._places if name not in held | coming]:
             del self._places[name]
-        for name, key in held_now.items():
+        for name, key in held.items():
             place = self._places.get(name)
             if place is None or place.state is not PlaceState.READY:
                 self.mark_ready(key, now)
--- a/packages/wigeonarch-core/src/wigeonarch_core/engine_report.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/engine_report.py
@@ -1,4 +1,4 @@
-"""What an engine says about itself, late: the JSON body of its report."""
+"""Report of an engine about itself: the JSON body that it returns, which lags by its age."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class LoadedAdapter(msgspec.Struct, frozen=True):
-    """One slot of an engine.
+    """An adapter slot of an engine that is in use.
 
     Attributes:
         adapter: Name of the adapter.
         version: Name of the version.
-        running: Requests that use it.
+        running: Running requests that use it.
         state: Whether it can be used yet.
     """
 
@@ -30,15 +30,15 @@
 
     Attributes:
         incarnation: Changes when the engine restarts.
-        slots: Adapter versions that fit in.
+        slots: Number of adapter slots.
         max_batch: Requests that one step can serve.
-        age_ms: Milliseconds since these figures were true.
-        state: Whether it takes new work.
+        age_ms: Milliseconds since the report was sampled.
+        state: Whether the engine takes new work.
         running: Requests in the batch.
-        waiting: Requests that the engine itself queues.
+        waiting: Requests in the engine's own queue.
         step: Number of the last step.
-        batch_fill: Mean share of batch places used over recent steps.
-        loaded: What the slots hold.
+        batch_fill: Mean share of the batch in use over recent steps.
+        loaded: Adapter slots that are in use.
     """
 
     incarnation: str
--- a/packages/wigeonarch-core/src/wigeonarch_core/entries.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/entries.py
@@ -1,4 +1,4 @@
-"""What operators create: services, adapters, versions and routing rules; data only."""
+"""The catalogue's entries: services, adapters, versions and routing rules; data only."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ServiceKind(enum.StrEnum):
-    """What serves a service's requests."""
+    """What kind of endpoint serves a service's requests."""
 
     MODEL = "model"
     PLAIN = "plain"
@@ -22,10 +22,11 @@
 
     Attributes:
         name: Unique name.
-        kind: Whether model engines or plain services answer.
+        kind: Whether model engines or plain services serve it.
         base_model: Model that its engines run; empty for plain services.
-        fencing_endpoints: Endpoints that refuse old fencing numbers; `*` stands for all.
-        deadline_ms: Deadline of requests that name none; 0 for the instance's default.
+        fencing_endpoints: Endpoints that refuse orders with an outdated fencing token; `*` stands
+            for all.
+        deadline_ms: Default deadline of its requests in milliseconds; 0 for the instance's default.
     """
 
     name: str
@@ -35,9 +36,9 @@
     deadline_ms: int = 0
 
     def checks_fence(self, endpoint: str) -> bool:
-        """Tells whether an endpoint is known to refuse old fencing numbers."""
-        named = self.fencing_endpoints
-        return endpoint in named or ALL_ENDPOINTS in named
+        """Returns whether an endpoint is known to refuse orders with an outdated fencing token."""
+        fencing = self.fencing_endpoints
+        return endpoint in fencing or ALL_ENDPOINTS in fencing
 
 
 class Adapter(msgspec.Struct, frozen=True, tag=True):
@@ -48,7 +49,15 @@
 
 
 class Version(msgspec.Struct, frozen=True, tag=True):
-    """A version of an adapter, with its place and size (bytes) in the weight store."""
+    """A version of an adapter.
+
+    Attributes:
+        service: Name of the service.
+        adapter: Name of the adapter.
+        name: Name of the version.
+        weights: Path of its weights in the weight store.
+        bytes: Size of its weights.
+    """
 
     service: str
     adapter: str
@@ -58,14 +67,14 @@
 
 
 class Split(msgspec.Struct, frozen=True):
-    """A version's share of an adapter's requests."""
+    """A version's share of an adapter's requests: its weight relative to the sum of all weights."""
 
     version: str
     weight: int = 1
 
 
 class Rule(msgspec.Struct, frozen=True, tag=True):
-    """Which version answers requests that name an adapter without a version."""
+    """Which versions serve the requests that name an adapter without a version."""
 
     service: str
     adapter: str
@@ -76,7 +85,7 @@
 
 
 class EntryKind(enum.StrEnum):
-    """Kinds of entries, as in their keys."""
+    """Kinds of entries, as used in their keys."""
 
     SERVICE = "service"
     ADAPTER = "adapter"
@@ -85,14 +94,14 @@
 
 
 class EntryKey(msgspec.Struct, frozen=True, order=True):
-    """Kind and full name of an entry, for example `version`, `drafting/blend-7@v2`."""
+    """Kind and full name of an entry, for example `version` and `drafting/blend-7@v2`."""
 
     kind: EntryKind
     name: str
 
 
 def key_of(entry: Entry) -> EntryKey:
-    """Returns the key under which an entry is kept."""
+    """Returns the key under which an entry is stored."""
     match entry:
         case Service(name=name):
             return EntryKey(EntryKind.SERVICE, name)
@@ -105,7 +114,7 @@
 
 
 def parents_of(entry: Entry) -> list[EntryKey]:
-    """Returns the entries that must exist for this one to make sense."""
+    """Returns the keys of the entries that must exist before this one can be created."""
     match entry:
         case Service():
             return []
@@ -120,7 +129,12 @@
 
 
 class Stored(msgspec.Struct, frozen=True):
-    """An entry with its version."""
+    """An entry with its version.
+
+    Attributes:
+        version: Number of the change that last set the entry.
+        entry: The entry.
+    """
 
     version: int
     entry: Entry
--- a/packages/wigeonarch-core/src/wigeonarch_core/eviction.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/eviction.py
@@ -1,8 +1,8 @@
-"""Which loaded copy an engine can best do without.
+"""Choice of the loaded adapter version to evict from an engine.
 
-A copy may go only if no pin names it, the last report shows no request using it, it was not just
-loaded, and no ask waits for it; among those, the one with the least rate of use goes. Frequency is
-preferred to recency, as a skewed popularity rewards it.
+A copy may be evicted only if no pin names it, the last report shows no request that uses it, it was
+not loaded just now, and no grant request waits for it. Of these, the one with the lowest rate of
+use is chosen. Frequency is preferred to recency because adapter popularity is skewed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,15 @@
 def is_evictable(
     target: AdapterVersion, slot: Slot, pins: PinTable, now: float, thrash_guard: float
 ) -> bool:
-    """Tells whether a loaded copy may go without harm to a running request."""
+    """Tells whether a loaded copy may be evicted without harm to a running request.
+
+    Args:
+        target: Adapter version of the copy.
+        slot: Its slot.
+        pins: Pins of the engine.
+        now: Current time, in seconds.
+        thrash_guard: Seconds for which a copy stays after its load.
+    """
     if pins.count(target) or slot.running:
         return False
     return now - slot.since >= thrash_guard
@@ -34,7 +42,7 @@
     thrash_guard: float,
     allowed: Callable[[AdapterVersion, float], bool],
 ) -> AdapterVersion | None:
-    """Returns the copy to evict next among those `allowed`, or None when none may go."""
+    """Returns the copy to evict among those that `allowed` accepts, or None if there is none."""
     candidates = [
         target
         for target, slot in slots.loaded()
--- a/packages/wigeonarch-core/src/wigeonarch_core/fatal_requests.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/fatal_requests.py
@@ -1,18 +1,19 @@
-"""Requests under which endpoints end, and when such a request is not sent any more.
-
-A request that crashes whatever runs it comes back with its caller, to any instance, as a new
-attempt. Each send takes an endpoint down with all that runs there, so what one endpoint showed has
-to be remembered for the request, not only for the endpoint.
-
-One end proves nothing: all requests on the endpoint saw it. A request is held back once several
-endpoints ended under it one after the other, and none ran it whole in between. An innocent one
-rarely meets that many ends, and a whole answer clears it of all of them. Endpoints that end
-together, as those of a rack do, count once: many callers may be asking for the same thing just
-then. So an end counts only if the run began after the last one that counts. After a quarantine one
-attempt may show that the request has become harmless; another end makes the next one longer.
-
-Ends are named by endpoint and incarnation, so that what several instances tell adds up, and the
-same end told twice counts once.
+"""Requests that crash the endpoints that run them, and their quarantine.
+
+A request that crashes its endpoint is often repeated by its caller, as a new attempt that may reach
+any instance. Each attempt can take down another endpoint with everything that runs there. So
+crashes have to be remembered per request, not only per endpoint.
+
+A single crash proves nothing, as all requests on that endpoint were running when it crashed. A
+request is quarantined once `CRASHES_TO_QUARANTINE` endpoints have crashed under it one after
+another, with no completed run in between. A harmless request rarely sees that many crashes, and a
+completed run clears it of all of them. Endpoints that crash together, such as those of a rack,
+count once, because many callers may be sending the same request just then. So a crash counts only
+if its run began after the last crash that counts. After a quarantine, one attempt may show that the
+request is harmless by now; another crash makes the next quarantine longer.
+
+A crash is identified by the endpoint and its incarnation. So the reports of several instances can
+be combined, and a crash that is reported twice counts once.
 """
 
 from __future__ import annotations
@@ -23,32 +24,30 @@
 
 import msgspec
 
-CRASHES_TO_QUARANTINE: Final = (
-    3  # Endpoints that end one after the other until a request is held back.
-)
-# Ends from which a request is worth a place in the store: nearly all others share one end only.
+CRASHES_TO_QUARANTINE: Final = 3  # Crashes one after another that quarantine a request.
+# Crashes from which a request is kept in the store; nearly all harmless requests have only one.
 CRASHES_TO_STORE: Final = 2
-# Seconds before an end was heard of in which another run may have begun because of it: what
-# instances tell one another takes longer than a caller that comes back at once.
+# Seconds by which a repetition may begin before the report of the crash that caused it arrives: a
+# caller that repeats its request at once is faster than the messages between instances.
 REPORT_LAG: Final = 0.05
-# Seconds after its last end for which a request is held back, and how many times as long after each
-# further end: an endpoint that ends costs all requests on it.
+# Seconds of quarantine after the last crash, and the factor by which each further crash multiplies
+# it. It is long because a crash fails all requests on the endpoint.
 QUARANTINE: Final = 900.0
 QUARANTINE_GROWTH: Final = 4.0
-# Seconds without a further end after which one that is not held back is forgotten.
+# Seconds after its last crash, or its quarantine, until a request is forgotten.
 EXPIRY: Final = 900.0
-MAX_COUNTED_CRASHES: Final = 8  # Ends of one request that count, and are told.
-MAX_UNCOUNTED_CRASHES: Final = 64  # Ends of one request that don't count and are known.
-MAX_SUSPECTS: Final = 5000  # Requests that are remembered; the oldest with the fewest ends go.
-MAX_STORED: Final = 32  # Requests that are kept in the store.
+MAX_COUNTED_CRASHES: Final = 8  # Per request; these are also sent to other instances.
+MAX_UNCOUNTED_CRASHES: Final = 64  # Per request, that are known but don't count.
+MAX_SUSPECTS: Final = 5000  # Beyond it, those with the fewest and oldest crashes are dropped.
+MAX_STORED: Final = 32  # Requests kept in the store.
 
 
 class Crash(msgspec.Struct, frozen=True):
-    """An endpoint that just ended under a request.
+    """An endpoint that crashed just now while it ran a request.
 
     Attributes:
-        content: Key of the request's content.
-        endpoint: The endpoint's incarnation.
+        content_key: Content key of the request.
+        crash_id: Identifies the endpoint's incarnation.
         age: Seconds since the request was sent there.
     """
 
@@ -58,7 +57,7 @@
 
 
 class RequestCrashes(msgspec.Struct, frozen=True):
-    """A request by the key of its content, and the endpoints that ended under it."""
+    """Content key of a request, and the ids of the crashes that happened under it."""
 
     content_key: str
     crash_ids: frozenset[str]
@@ -69,10 +68,11 @@
     """What is remembered of a request.
 
     Attributes:
-        at: Time of the last end that counts.
-        ends: Ends that count.
-        others: Ends that don't, as one that came together with them does.
-        cleared: Ends that don't count any more.
+        last_crash_at: Time of the last crash that counts.
+        counted: Crashes that count.
+        uncounted: Crashes that don't count, for example because they happened together with one
+            that does.
+        cleared: Crashes that no longer count, as the request completed a run afterwards.
     """
 
     last_crash_at: float
@@ -80,13 +80,13 @@
     uncounted: set[str] = field(default_factory=set)
     cleared: set[str] = field(default_factory=set)
 
-    def knows(self, endpoint: str) -> bool:
-        """Tells whether an end was told before."""
-        return endpoint in self.counted or endpoint in self.uncounted or endpoint in self.cleared
+    def knows(self, crash: str) -> bool:
+        """Tells whether a crash was reported before."""
+        return crash in self.counted or crash in self.uncounted or crash in self.cleared
 
 
 class FatalRequests:
-    """What is remembered of requests under which endpoints ended."""
+    """Requests under which endpoints have crashed."""
 
     __slots__ = ("_suspects",)
 
@@ -94,9 +94,10 @@
         self._suspects: dict[str, _Suspect] = {}
 
     def record_crash(self, crash: Crash, now: float) -> bool:
-        """Notes an end that was just seen, here or elsewhere; returns whether it counts.
+        """Records a crash just seen here or by another instance; returns whether it counts.
 
-        Of a request with many ends no more are counted: it is known for what it is.
+        At most `MAX_COUNTED_CRASHES` crashes of a request count, which is more than enough to
+        quarantine it.
         """
         suspect = self._suspects.get(crash.content_key)
         if suspect is None:
@@ -112,9 +113,13 @@
         return True
 
     def adopt(self, reported: RequestCrashes, now: float) -> bool:
-        """Takes over all ends that another instance counts, if these are more; returns if so.
+        """Adopts the crashes that another instance counts if these are more than counted here.
 
-        Of ends that came together two instances may count different ones, so they are not added up.
+        The counts are not added up, as two instances may count different crashes of a group that
+        happened together.
+
+        Returns:
+            Whether the crashes were adopted.
         """
         suspect = self._suspects.get(reported.content_key)
         cleared = set() if suspect is None else suspect.cleared
@@ -128,52 +133,57 @@
         suspect.last_crash_at = now
         return True
 
-    def record_completion(self, content: str) -> RequestCrashes | None:
-        """Clears a request that an endpoint ran to its end; returns the ends that don't count now.
+    def record_completion(self, content_key: str) -> RequestCrashes | None:
+        """Clears a request that completed a run; returns the crashes that no longer count, if any.
 
-        They stay known, as others may still tell of them.
+        The cleared crashes are remembered, as other instances may still report them.
         """
-        suspect = self._suspects.get(content)
+        suspect = self._suspects.get(content_key)
         if suspect is None or not suspect.counted:
             return None
-        ends = RequestCrashes(content, frozenset(suspect.counted))
-        self.apply_clearance(ends)
-        return ends
+        crashes = RequestCrashes(content_key, frozenset(suspect.counted))
+        self.apply_clearance(crashes)
+        return crashes
 
     def apply_clearance(self, cleared: RequestCrashes) -> None:
-        """Notes what another instance saw cleared."""
+        """Clears the crashes that another instance has cleared."""
         suspect = self._suspects.get(cleared.content_key)
         if suspect is not None:
             suspect.counted -= cleared.crash_ids
             suspect.cleared = _union_or_new(suspect.cleared, cleared.crash_ids)
 
-    def quarantine_left(self, content: str, now: float) -> float:
-        """Returns the seconds for which a request is held back; 0 when it may be sent."""
-        suspect = self._suspects.get(content)
+    def quarantine_left(self, content_key: str, now: float) -> float:
+        """Returns the seconds until a request may be sent; 0 if it may be sent now."""
+        suspect = self._suspects.get(content_key)
         if suspect is None:
             return 0.0
         return max(0.0, self._quarantine_end(suspect) - now)
 
-    def crash_count(self, content: str) -> int:
-        """Returns how many endpoints ended under a request."""
-        suspect = self._suspects.get(content)
+    def crash_count(self, content_key: str) -> int:
+        """Returns how many crashes of a request count."""
+        suspect = self._suspects.get(content_key)
         return 0 if suspect is None else len(suspect.counted)
 
     def most_crashes(self, min_crashes: int, limit: int) -> list[RequestCrashes]:
-        """Returns the requests with so many ends at least, those with most and the newest first."""
+        """Returns the requests with the most crashes, the latest first among equals.
+
+        Args:
+            min_crashes: Least number of crashes of a request that is returned.
+            limit: Greatest number of requests that are returned.
+        """
         found = [(name, s) for name, s in self._suspects.items() if len(s.counted) >= min_crashes]
         found.sort(key=lambda pair: (len(pair[1].counted), pair[1].last_crash_at), reverse=True)
         return [RequestCrashes(name, frozenset(suspect.counted)) for name, suspect in found[:limit]]
 
     def expire(self, now: float) -> None:
-        """Forgets requests of which nothing was seen for long."""
-        for content, suspect in list(self._suspects.items()):
+        """Forgets requests whose quarantine and last crash are long past."""
+        for content_key, suspect in list(self._suspects.items()):
             if now >= max(self._quarantine_end(suspect), suspect.last_crash_at) + EXPIRY:
-                del self._suspects[content]
+                del self._suspects[content_key]
 
-    def _add(self, content: str, now: float) -> _Suspect:
+    def _add(self, content_key: str, now: float) -> _Suspect:
         self._make_room()
-        suspect = self._suspects[content] = _Suspect(now)
+        suspect = self._suspects[content_key] = _Suspect(now)
         return suspect
 
     def _make_room(self) -> None:
@@ -186,19 +196,19 @@
 
     @staticmethod
     def _quarantine_end(suspect: _Suspect) -> float:
-        over = len(suspect.counted) - CRASHES_TO_QUARANTINE
-        if over < 0:
+        excess = len(suspect.counted) - CRASHES_TO_QUARANTINE
+        if excess < 0:
             return float("-inf")
-        return suspect.last_crash_at + QUARANTINE * QUARANTINE_GROWTH**over
+        return suspect.last_crash_at + QUARANTINE * QUARANTINE_GROWTH**excess
 
 
 def _union_or_new(names: set[str], more: Iterable[str]) -> set[str]:
-    """Returns both, or the new ones where both are too many."""
-    fresh = set(more)
-    both = names | fresh
-    return both if len(both) <= MAX_UNCOUNTED_CRASHES else fresh
+    """Returns the union of both sets, or only the new names if the union is too large."""
+    new = set(more)
+    union = names | new
+    return union if len(union) <= MAX_UNCOUNTED_CRASHES else new
 
 
 def crash_id(endpoint: str, incarnation: int) -> str:
-    """Returns the name of the end of an endpoint's incarnation."""
+    """Returns the id of the crash of an endpoint's incarnation."""
     return f"{endpoint}@{incarnation}"
--- a/packages/wigeonarch-core/src/wigeonarch_core/fleet.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/fleet.py
@@ -1,8 +1,8 @@
 """What one instance knows of the deployment: instances, endpoints, owners and their loads.
 
-The aggregate only takes observations, each with the version or the time that lets a later one win,
-and answers questions. Observations come from the platform's lagging list, from watches on leases
-and owners, and from peers' heartbeats.
+`Fleet` only records observations and answers questions about them. Each observation has a version
+or a time by which a later one wins. Observations come from the platform's list, which lags, from
+watches on leases and ownerships, and from peers' heartbeats.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     Attributes:
         record: Its lease record.
         lease: Its lease, as seen from here.
-        heard: Time of its last heartbeat, in seconds; None before the first.
+        heard_at: Time of its last heartbeat, in seconds; None before the first.
         heartbeat: That heartbeat.
     """
 
@@ -36,13 +36,14 @@
 
 
 class Ownership(msgspec.Struct, frozen=True):
-    """Who owns an engine.
+    """The ownership of an engine, as recorded in the platform.
 
     Attributes:
-        owner: Name of the owning instance; `records.VACANT` when the last one gave it up.
-        boot: Nonce made at its start.
-        fence: Fencing number of the ownership.
-        handed: Fencing number of the ownership that was handed over to it; 0 when it claimed.
+        owner: Name of the owning instance; `records.VACANT` if the last owner gave the engine up.
+        boot: Nonce made at the start of the owner's process.
+        fence: Fencing token of the ownership.
+        handed: Fencing token of the ownership that was handed over to this owner; 0 if it claimed
+            the engine.
     """
 
     owner: str
@@ -56,10 +57,10 @@
     """A model engine or an instance of a plain service.
 
     Attributes:
-        listed: What the platform's list says.
-        left: Whether it has said itself that it is leaving; that holds until it restarts, or until
-            the list shows it as leaving and then as live again.
-        incarnation: Of the last report that its owner told of.
+        listed: Its item in the platform's list.
+        declared_leaving: Whether it has itself said that it is leaving. This holds until it
+            restarts, or until the list shows it as leaving and then as live again.
+        incarnation: Incarnation in the last report that its owner passed on.
     """
 
     listed: Listed
@@ -77,20 +78,21 @@
     """The deployment as one instance knows it.
 
     Attributes:
-        me: Name of this instance.
+        own_name: Name of this instance.
         zone: Its availability zone.
         boot: Nonce made at its start.
-        margin: Seconds that cover differences in clock rates.
-        term: Term of leases of which nothing else is known, in seconds.
-        informed_at: Time at which list, leases and owners had all been read once; None before.
+        margin: Allowance for differences in clock rates, in seconds.
+        term: Term assumed for leases of which nothing else is known, in seconds.
+        initialized_at: Time at which the list, the leases and the ownerships had all been read
+            once; None before.
         peers: The other entry instances, by name.
         endpoints: Model engines and instances of plain services, by name.
-        entries: Entry instances in the platform's list.
-        owners: Who owns which engine.
-        summaries: What owners say of their engines.
-        strangers: Instances of the zone that send heartbeats but whose leases were never seen, as
-            when one joins while this instance can't reach the platform; by name, with the time of
-            the last heartbeat in seconds.
+        entries: Entry instances in the platform's list, by name.
+        owners: Ownership of each engine, by the engine's name.
+        summaries: Last summary of each engine from its owner, by the engine's name.
+        unknown_peers: Instances of the zone that send heartbeats but whose leases were never seen,
+            as when one joins while this instance can't reach the platform. By name, with the time
+            of the last heartbeat in seconds.
     """
 
     own_name: str
@@ -105,11 +107,11 @@
     owners: dict[str, Ownership] = field(default_factory=dict)
     summaries: dict[str, EngineSummary] = field(default_factory=dict)
     unknown_peers: dict[str, float] = field(default_factory=dict)
-    _replaced: dict[tuple[str, str], PeerLease] = field(default_factory=dict)
-    _stopped: set[tuple[str, str]] = field(default_factory=set)
+    _replaced_leases: dict[tuple[str, str], PeerLease] = field(default_factory=dict)
+    _stopped_processes: set[tuple[str, str]] = field(default_factory=set)
 
     def observe_list(self, items: Iterable[Listed]) -> None:
-        """Takes over the platform's list; endpoints missing from it are gone."""
+        """Records the platform's list; endpoints that are missing from it are removed."""
         listed = list(items)
         self.entries = {item.name: item for item in listed if item.role is Role.ENTRY}
         fresh = {item.name: item for item in listed if item.role is not Role.ENTRY}
@@ -117,9 +119,9 @@
             del self.endpoints[name]
             self.summaries.pop(name, None)
         for name, item in fresh.items():
-            self._saw_endpoint(name, item)
+            self._observe_endpoint(name, item)
 
-    def _saw_endpoint(self, name: str, item: Listed) -> None:
+    def _observe_endpoint(self, name: str, item: Listed) -> None:
         known = self.endpoints.get(name)
         if known is None or known.listed.address != item.address:
             self.endpoints[name] = Endpoint(item)
@@ -129,60 +131,64 @@
         known.listed = item
 
     def observe_lease(self, record: LeaseRecord, version: int, now: float) -> None:
-        """Notes a lease record; one of an earlier process in this instance's name counts too."""
+        """Records a lease record, including one of an earlier process with this instance's name."""
         if record.instance == self.own_name:
             if record.boot != self.boot:
-                seen = PeerLease(record.term, self.margin, version, now)
-                self._replaced.setdefault((record.instance, record.boot), seen)
+                lease = PeerLease(record.term, self.margin, version, now)
+                self._replaced_leases.setdefault((record.instance, record.boot), lease)
             return
         peer = self.peers.get(record.instance)
         if peer is not None and version < peer.lease.version:
             return
         if peer is None or peer.record.boot != record.boot:
-            self._saw_process(record, version, now)
+            self._observe_new_process(record, version, now)
             return
         if version > peer.lease.version:
             peer.record = record
         peer.lease.observe(version, now)
 
-    def _saw_process(self, record: LeaseRecord, version: int, now: float) -> None:
-        """Notes a new process; the one that it replaces may still run, with a lease that holds."""
+    def _observe_new_process(self, record: LeaseRecord, version: int, now: float) -> None:
+        """Records a new process; the one it replaces may still run under its unlapsed lease."""
         known = self.peers.get(record.instance)
         if known is not None:
-            former = PeerLease(known.record.term, self.margin, known.lease.version, now)
-            self._replaced[record.instance, known.record.boot] = former
-        seen = PeerLease(record.term, self.margin, version, now)
-        self.peers[record.instance] = Peer(record, seen)
+            former_lease = PeerLease(known.record.term, self.margin, known.lease.version, now)
+            self._replaced_leases[record.instance, known.record.boot] = former_lease
+        lease = PeerLease(record.term, self.margin, version, now)
+        self.peers[record.instance] = Peer(record, lease)
 
     def observe_lease_deleted(self, instance: str) -> None:
-        """Notes that a lease was deleted, which its holder does when it has stopped."""
+        """Records that a lease was deleted, which its holder does after it has stopped."""
         peer = self.peers.pop(instance, None)
         if peer is not None:
-            self._stopped.add((instance, peer.record.boot))
+            self._stopped_processes.add((instance, peer.record.boot))
 
-    def is_vacant(self, held: Ownership, now: float) -> bool:
-        """Tells whether the owner on record can no longer act on the ownership.
+    def is_vacant(self, ownership: Ownership, now: float) -> bool:
+        """Returns whether the recorded owner can no longer act on the ownership.
 
-        An owner that this instance never saw may be alive in a cut that began before; it counts as
-        gone only when a whole term has passed since this instance saw all leases.
+        An owner whose lease this instance never saw may still be running behind a network cut that
+        began earlier. It counts as gone only after a whole term has passed since all leases were
+        read.
         """
-        process = (held.owner, held.boot)
-        if process in self._stopped:
+        process = (ownership.owner, ownership.boot)
+        if process in self._stopped_processes:
             return True
-        lease = self._lease_of(held)
+        lease = self._lease_of(ownership)
         if lease is not None:
             return lease.has_lapsed(now)
-        informed = self.initialized_at
-        return informed is not None and now > informed + self.term + self.margin
+        initialized_at = self.initialized_at
+        return initialized_at is not None and now > initialized_at + self.term + self.margin
 
-    def _lease_of(self, held: Ownership) -> PeerLease | None:
-        peer = self.peers.get(held.owner)
-        if peer is not None and peer.record.boot == held.boot:
+    def _lease_of(self, ownership: Ownership) -> PeerLease | None:
+        peer = self.peers.get(ownership.owner)
+        if peer is not None and peer.record.boot == ownership.boot:
             return peer.lease
-        return self._replaced.get((held.owner, held.boot))
+        return self._replaced_leases.get((ownership.owner, ownership.boot))
 
     def has_peer_promise(self, owner: str, now: float) -> bool:
-        """Tells whether a peer heard lately has promised `owner` not to take over from it."""
+        """Returns whether a peer that was heard from lately promised not to take over from `owner`.
+
+        A peer counts if its last heartbeat arrived within the last term.
+        """
         return any(
             peer.heartbeat is not None
             and owner in peer.heartbeat.promised_owners
@@ -192,37 +198,37 @@
         )
 
     def observe_owner(self, record: OwnerRecord, version: int) -> None:
-        """Notes an ownership; an older version never replaces a newer one."""
+        """Records an ownership; an older version never replaces a newer one."""
         known = self.owners.get(record.engine)
         if known is None or version > known.fence:
             self.owners[record.engine] = Ownership(
                 record.owner, record.boot, version, record.handed
             )
 
-    def observe_heartbeat(self, beat: Heartbeat, now: float) -> None:
-        """Notes a heartbeat; summaries count only from the newest ownership known."""
-        peer = self.peers.get(beat.instance)
-        if peer is None and beat.zone == self.zone:
-            self.unknown_peers[beat.instance] = now
-        if peer is None or peer.record.boot != beat.boot:
+    def observe_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
+        """Records a heartbeat; its summaries count only if from the newest ownership known."""
+        peer = self.peers.get(heartbeat.instance)
+        if peer is None and heartbeat.zone == self.zone:
+            self.unknown_peers[heartbeat.instance] = now
+        if peer is None or peer.record.boot != heartbeat.boot:
             return
-        self.unknown_peers.pop(beat.instance, None)
+        self.unknown_peers.pop(heartbeat.instance, None)
         peer.heard_at = now
-        peer.heartbeat = beat
-        for summary in beat.engines:
+        peer.heartbeat = heartbeat
+        for summary in heartbeat.engines:
             self.observe_summary(summary)
 
     def observe_summary(self, summary: EngineSummary) -> None:
-        """Notes what an owner says about its engine."""
+        """Records an owner's summary of its engine."""
         known = self.summaries.get(summary.engine)
         if known is None or summary.fence >= known.fence:
             self.summaries[summary.engine] = summary
-            self._saw_state(summary)
+            self._observe_leaving_state(summary)
 
-    def _saw_state(self, summary: EngineSummary) -> None:
-        """Notes whether an engine is leaving; only a restart makes it take new work again.
+    def _observe_leaving_state(self, summary: EngineSummary) -> None:
+        """Records whether an engine is leaving; only a restart makes it take new work again.
 
-        Its report lags, so that one which says "live" does not undo a refusal.
+        The engine's report lags, so a report that says "live" does not cancel an earlier refusal.
         """
         endpoint = self.endpoints.get(summary.engine)
         if endpoint is None:
@@ -233,13 +239,13 @@
         endpoint.declared_leaving = endpoint.declared_leaving or summary.leaving
 
     def observe_leaving(self, endpoint: str) -> None:
-        """Notes that an endpoint itself said that it is leaving."""
+        """Records that an endpoint itself said that it is leaving."""
         known = self.endpoints.get(endpoint)
         if known is not None:
             known.declared_leaving = True
 
     def live_instances_in_zone(self, now: float) -> list[str]:
-        """Returns the instances of the own zone that may own engines, this one included."""
+        """Returns the instances of this zone that may own engines, including this one, sorted."""
         live = [
             name
             for name, peer in self.peers.items()
@@ -250,7 +256,7 @@
         return sorted([self.own_name, *live])
 
     def settled_instances_in_zone(self, now: float) -> list[str]:
-        """Returns the other instances of the zone that have been live for a whole term."""
+        """Returns the other instances of this zone that have been live for a whole term, sorted."""
         return sorted(
             name
             for name, peer in self.peers.items()
@@ -260,7 +266,7 @@
         )
 
     def engines_in_zone(self) -> list[str]:
-        """Returns the engines of the own zone, leaving ones included."""
+        """Returns the engines of this zone, including leaving ones, sorted."""
         return sorted(
             name
             for name, endpoint in self.endpoints.items()
@@ -268,12 +274,12 @@
         )
 
     def zones(self) -> list[str]:
-        """Returns the availability zones that have instances of any kind."""
+        """Returns the availability zones that have instances or endpoints, sorted."""
         listed = [*self.entries.values(), *(end.listed for end in self.endpoints.values())]
         return sorted({self.zone, *(item.zone for item in listed)})
 
     def instances_heard_within(self, bound: float, now: float) -> list[str]:
-        """Returns the instances heard from in the last `bound` seconds, this one included."""
+        """Returns the instances heard from in the last `bound` seconds and this one, sorted."""
         heard = [
             name
             for name, peer in self.peers.items()
--- a/packages/wigeonarch-core/src/wigeonarch_core/idempotency.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/idempotency.py
@@ -1,17 +1,18 @@
-"""At most one run per idempotency key.
+"""Idempotency keys: at most one run of a request per key.
 
 Before a non-idempotent request is dispatched, a record of its key is created in the platform, if
-absent. Who creates it may run the request; everybody else only learns what is known of it. A nonce
-in the record tells an attempt its own write from another one's, so that a write whose answer was
-lost, or which conflicts with its own silent repetition, is settled by reading the record back.
-
-Why it is safe: every write is conditional on the version last seen, so of all attempts only one can
-move a key into `HELD`. `HELD` is left by its holder alone: to `DONE` when it ran, to `FREE` when
-certainly nothing of it ran and its holder has stopped trying. Only `FREE` can be taken over. A
-`FREE` written late finds another version and fails.
-
-Example: two instances receive the same key at once. Both try to create the record; one gets a
-conflict, reads the other one's nonce and answers from that record without running anything.
+there is none yet. The attempt that creates the record may run the request; every other attempt only
+learns what the record says. A nonce in the record tells an attempt its own write from another
+attempt's. So when the response to a write is lost, or the write conflicts with an automatic
+repetition of itself, reading the record shows who holds the key.
+
+Why it is safe: every write is conditional on the version last read, so only one attempt can move a
+key to `HELD`. Only its holder moves a key on from `HELD`: to `DONE` when the request ran, to `FREE`
+when certainly nothing of it ran and the holder has stopped trying. Only a `FREE` key can be taken
+over. A delayed write of `FREE` finds another version and fails.
+
+Example: two instances receive the same key at the same time and both try to create the record. One
+gets a conflict, reads the other one's nonce and answers from that record without running anything.
 """
 
 from __future__ import annotations
@@ -24,27 +25,27 @@
 
 from wigeonarch_core.records import KeyRecord
 
-MAX_TRIES: Final = 4
+MAX_TRIES: Final = 4  # Writes of one attempt.
 DIGEST_BYTES: Final = 16
 
 
 class KeyState(enum.StrEnum):
-    """State of a key's record."""
+    """State of a key, as stored in its record."""
 
-    HELD = "held"  # Its holder may have run the request.
-    DONE = "done"  # It ran, and the record says how it ended.
-    FREE = "free"  # Its holder has certainly not run it and never will.
+    HELD = "held"  # The holder may have run the request.
+    DONE = "done"  # The request ran, and the record holds the outcome.
+    FREE = "free"  # The holder has certainly not run the request and never will.
 
 
 class Step(enum.Enum):
-    """What to do next with a non-idempotent request."""
+    """The next step for a non-idempotent request."""
 
     RUN = "run"
     TAKE_OVER = "take_over"  # Replace the record, then run.
-    CREATE = "create"  # No record after all: create it.
-    ANSWER_FROM_RECORD = "tell_known"  # Answer from the record.
-    REPORT_IN_USE = "tell_held"  # Somebody else may be running it.
-    MISMATCH = "mismatch"  # The key belongs to another request.
+    CREATE = "create"  # There is no record: create it.
+    ANSWER_FROM_RECORD = "tell_known"  # The request ran already.
+    REPORT_IN_USE = "tell_held"  # Another attempt may be running the request.
+    MISMATCH = "mismatch"  # The key was used for another request.
 
 
 _STEPS: Final = {
@@ -55,17 +56,17 @@
 
 
 def key_name(service: str, key: str) -> str:
-    """Returns the object name under which a service's key is recorded."""
+    """Returns the name of the object that holds the record of a service's key."""
     return request_digest(service, key)
 
 
 def request_digest(*parts: str | bytes) -> str:
-    """Returns a digest of what a request asks for, as its caller wrote it.
+    """Returns a digest of a request as its caller wrote it.
 
-    The parts are what the caller named and not what that was resolved to: a repetition must count
-    as the same request after a routing rule has moved.
+    The parts are the names that the caller used, not what they were resolved to: a repetition must
+    count as the same request even if a routing rule has changed meanwhile.
     """
-    # A cryptographic hash, as keys come from callers, who must not make two that collide.
+    # Cryptographic, as callers choose the parts and must not be able to cause collisions.
     state = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         raw = part if isinstance(part, bytes) else part.encode()
@@ -75,10 +76,10 @@
 
 
 def next_step(found: KeyRecord | None, mine: KeyRecord) -> Step:
-    """Decides from the record found after a conflict or a lost answer.
+    """Decides what to do after a conflict or a lost response.
 
     Args:
-        found: The record as read, or None when there is none.
+        found: The record as read, or None if there is none.
         mine: The record that this attempt tries to write.
     """
     if found is None:
@@ -91,23 +92,23 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Write the record, on condition that the object is at version `expected` (0: absent)."""
+    """Call to make: write the record if the object is at version `expected` (0: absent)."""
 
     expected: int
 
 
 class Read(msgspec.Struct, frozen=True):
-    """Read the record."""
+    """Call to make: read the record."""
 
 
 class Taken(msgspec.Struct, frozen=True):
-    """The key is held by this attempt, which may run the request once."""
+    """This attempt holds the key and may run the request once; the record is at `version`."""
 
     version: int
 
 
 class Told(msgspec.Struct, frozen=True):
-    """The request must not run here; `record` is what is known of the one that has the key."""
+    """The request must not run here; `record` is that of the request that has the key."""
 
     step: Step
     record: KeyRecord
@@ -117,8 +118,8 @@
     """The key could not be taken, so nothing runs.
 
     Attributes:
-        doubtful: Whether a write of this attempt may still have taken effect; the record is then
-            to be freed later.
+        doubtful: Whether a write of this attempt may still have taken effect; if so, the record
+            must be freed later.
     """
 
     doubtful: bool
@@ -128,10 +129,10 @@
 
 
 class KeyAttempt:
-    """One attempt to take a key: names the next call to the platform and judges its result.
+    """One attempt to take a key: names the next call to the platform and evaluates its result.
 
     Attributes:
-        next: The call to make now.
+        next_call: The call to make now.
         record: The record that the attempt writes.
     """
 
@@ -144,15 +145,15 @@
         self._may_have_written = False
 
     def record_write(self, version: int) -> Taken:
-        """Notes that the write took effect."""
+        """Notes that the write took effect, so the key is taken."""
         return Taken(version)
 
     def record_conflict(self) -> None:
-        """Notes a conflict, which may also be with a repetition of this attempt's own write."""
+        """Notes a conflict, which a repetition of this attempt's own write may have caused."""
         self.next_call = Read()
 
     def record_no_answer(self, may_have_written: bool) -> GivenUp | None:
-        """Notes a write without an answer; `maybe` tells whether it can have taken effect."""
+        """Notes a write without a response; gives up if it cannot have taken effect."""
         self._may_have_written = self._may_have_written or may_have_written
         if not may_have_written:
             return GivenUp(self._may_have_written)
@@ -160,11 +161,11 @@
         return None
 
     def record_unreadable(self) -> GivenUp:
-        """Notes that the record could not be read."""
+        """Notes that the record could not be read, so the attempt gives up."""
         return GivenUp(self._may_have_written)
 
     def examine(self, record: KeyRecord | None, version: int) -> TakeResult | None:
-        """Judges the record as read; None when `next` is to be carried out."""
+        """Evaluates the record as read; returns None if `next_call` must be made."""
         step = next_step(record, self.record)
         if step is Step.RUN:
             return Taken(version)
@@ -180,13 +181,13 @@
 def may_dispatch(taken_at: float, now: float, deadline: float, retention: float) -> bool:
     """Tells whether the holder of a key may still send its request to an endpoint.
 
-    A process can be paused between taking the key and sending. Afterwards the caller may have been
-    told something else, and in the end the record may have been purged and the key taken again.
+    A process can be paused between taking the key and sending the request. By then the caller may
+    have received another answer, or the record may even have been purged and the key taken again.
 
     Args:
-        held_at: Time just before the key was taken.
-        now: Present time, on the same clock, which must count suspended time.
-        deadline: When the answer is worthless.
-        retention: Seconds that the record is kept.
+        taken_at: Time just before the key was taken.
+        now: Current time on the same clock, which must include suspended time.
+        deadline: Time after which the response is of no use.
+        retention: Seconds for which the record is kept.
     """
     return now < deadline and now - taken_at < retention / 2
--- a/packages/wigeonarch-core/src/wigeonarch_core/key_answers.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/key_answers.py
@@ -1,4 +1,4 @@
-"""Between outcomes and the records of their idempotency keys."""
+"""Conversion between outcomes of requests and the records of their idempotency keys."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from wigeonarch_core.outcomes import Answered, Failed, NotRun, Outcome, Reason, Unknown
 from wigeonarch_core.records import KeyRecord
 
-# Encoded as JSON. The platform's limit of an object is four times as much.
+# Of the body, encoded as JSON; a quarter of the platform's limit for an object.
 MAX_KEPT_BYTES: Final = 256 * 1024
 
 
 def completed_record(record: KeyRecord, outcome: Outcome, version: str = "") -> KeyRecord | None:
-    """Returns the record of a key whose request has ended; None when it must stay held.
+    """Returns the record for a key whose request has ended; None if the key must stay held.
 
     Args:
         record: The record as held.
@@ -43,13 +43,13 @@
     )
 
 
-def outcome_for(told: Told) -> Outcome:
-    """Returns what a caller is told whose key belongs to an earlier request."""
-    return _ANSWERS[told.step](told.record)
+def outcome_for(result: Told) -> Outcome:
+    """Returns the outcome for a request whose key belongs to an earlier request."""
+    return _ANSWERS[result.step](result.record)
 
 
 def _mismatch(_record: KeyRecord) -> Outcome:
-    # True of this request: it is not the one that the key stands for, and it was not sent.
+    # Nothing of this request ran: the key belongs to another one, and this one was not sent.
     return NotRun(Reason.KEY_MISMATCH)
 
 
@@ -59,7 +59,7 @@
 
 def _known(record: KeyRecord) -> Outcome:
     if not record.body_kept:
-        # Part of an answer is never shown as an answer.
+        # A part of a response must not look like the whole one.
         return Unknown(Reason.ANSWER_NOT_KEPT)
     if record.outcome == Answered.__name__:
         return Answered(record.body, record.tokens, record.finish, record.version)
--- a/packages/wigeonarch-core/src/wigeonarch_core/lease.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/lease.py
@@ -1,25 +1,29 @@
-"""The lease of an instance, seen from its holder and from the others.
+"""The lease of an instance, as its holder counts it and as other instances see it.
 
-The holder counts from the moment *before* it sent a renewal, others from the moment they first saw
-the renewed version, so the holder's view always ends first; a margin covers differences in clock
-rates. No clock is compared with another one.
+The holder counts the term from the moment *before* it sent a renewal. The others count it from the
+moment at which they first saw the renewed version. So the lease always ends first for its holder. A
+margin covers differences in clock rates. Times of different clocks are never compared.
 
 Example: with a term of 6 s and a margin of 1 s, a renewal sent at 10.0 lets the holder act until
-15.0. A watcher that saw it at 10.3 calls the lease lapsed at 16.3 plus the margin.
-
-A holder whose lease has ended for however short a time can't know whether somebody took over in
-the gap, and reading back wouldn't tell: a takeover may be on its way. So each unbroken stretch has
-a generation number, and an ownership counts only in the generation in which it was written. After a
-gap the holder writes its ownerships again, and the conditional write decides between it and others.
+15.0. An observer that saw it at 10.3 takes the lease as lapsed after 17.3, which is 10.3 plus the
+term and the margin.
+
+A holder whose lease has lapsed, however briefly, can't know whether another instance took over in
+the gap. A read would not tell either, because a takeover may be on its way. Therefore each unbroken
+period of validity has a generation number, and an ownership counts only in the generation in which
+it was written. After a gap the holder writes its ownerships again, and the conditional write
+decides between it and other instances.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# A lease is renewed every third of its term, so two thirds are left when the renewal is sent.
-RENEWALS_LEFT: Final = 2 / 3
-OVERDUE: Final = 0.75
+# Part of the term that is left when the next renewal is sent: a lease is renewed every third of its
+# term.
+TERM_LEFT_AT_RENEWAL: Final = 2 / 3
+# A renewal is overdue when less than this part of the usual time at a renewal is left.
+OVERDUE_PART: Final = 0.75
 
 
 class HeldLease:
@@ -27,17 +31,17 @@
 
     Attributes:
         version: Version of the stored lease object; 0 before the first.
-        generation: Number of the present unbroken stretch; 0 before the first.
-        since: Time at which that stretch began, in seconds.
+        generation: Number of the current unbroken period of validity; 0 before the first.
+        since: Time at which that period began, in seconds.
     """
 
     __slots__ = (
-        "_alive",
-        "_doubted",
         "_end",
+        "_first_attempt",
+        "_last_running",
         "_margin",
+        "_paused_at",
         "_term",
-        "_tried",
         "generation",
         "since",
         "version",
@@ -47,134 +51,136 @@
         self._term = term
         self._margin = margin
         self._end: float | None = None
-        self._alive: float | None = None
-        self._doubted: float | None = None
-        self._tried: float | None = None
+        self._last_running: float | None = None
+        self._paused_at: float | None = None
+        self._first_attempt: float | None = None
         self.version = 0
         self.generation = 0
         self.since = 0.0
 
     def record_attempt(self, now: float) -> None:
-        """Notes that a renewal is sent; its answer may be lost after it took effect."""
-        if self._tried is None:
-            self._tried = now
+        """Records that a renewal is being sent; it may take effect even if its answer is lost."""
+        if self._first_attempt is None:
+            self._first_attempt = now
 
     def record_renewal(self, sent_at: float, version: int, now: float) -> None:
-        """Notes a renewal that was sent at `sent_at`, stored as `version` and answered now."""
+        """Records a renewal sent at `sent_at`, stored as `version` and confirmed now."""
         if not self.is_valid(now):
             self.generation += 1
             self.since = now
             self._end = None
         self._extend(sent_at)
-        self._alive = now
-        self._doubted = None
+        self._last_running = now
+        self._paused_at = None
         self.version = version
-        self._tried = None
+        self._first_attempt = None
 
     def record_stored_version(self, version: int, now: float) -> None:
-        """Notes the version that a read found in this process's name.
+        """Records the version of a stored lease that names this process.
 
-        Only a version that is new proves a renewal, and it may be the first of those sent since.
+        Only a new version proves that a renewal took effect. It may be the first one that was sent
+        since the last confirmation, so the term is counted from that one.
         """
-        if version > self.version and self._tried is not None:
-            self.record_renewal(self._tried, version, now)
+        if version > self.version and self._first_attempt is not None:
+            self.record_renewal(self._first_attempt, version, now)
 
     def record_promises(self, asked_at: float, now: float) -> None:
-        """Notes promises, asked for at `asked_at`, that nobody will take over for a term.
+        """Extends the lease by lease support promises that were requested at `asked_at`.
 
-        They never bridge a gap; after a pause they count only if they were asked for since.
+        Each promise says that its giver does not take over for one term. Promises never revive a
+        lapsed lease, and after a pause of the process they count only if requested after it.
         """
         if self._end is None or now >= self._end:
             return
-        if self._doubted is not None and asked_at < self._doubted:
+        if self._paused_at is not None and asked_at < self._paused_at:
             return
         self._extend(asked_at)
-        self._doubted = None
+        self._paused_at = None
 
     def wants_support(self, now: float) -> bool:
-        """Tells whether a renewal is overdue, so that the zone's instances should help."""
+        """Returns whether a renewal is overdue, so that lease support should be requested."""
         if self._end is None or now >= self._end:
             return False
-        usual = self._term * RENEWALS_LEFT - self._margin
-        return self._doubted is not None or self._end - now < usual * OVERDUE
+        usual = self._term * TERM_LEFT_AT_RENEWAL - self._margin
+        return self._paused_at is not None or self._end - now < usual * OVERDUE_PART
 
     def record_running(self, now: float) -> float:
-        """Notes that the process runs, which it must do more often than once per margin.
+        """Records that the process is running; must be called more often than once per margin.
 
         Returns:
-            The seconds of a longer pause, after which nothing counts before a new renewal or new
-            promises; 0 without one.
+            The length of a pause longer than the margin, in seconds; 0 if there was none. After
+            such a pause the lease is not valid until a new renewal or new promises.
         """
-        paused = self._paused(now)
+        paused = self._pause_length(now)
         if paused:
-            self._doubted = now
-        self._alive = now
+            self._paused_at = now
+        self._last_running = now
         return paused
 
     def invalidate(self) -> None:
-        """Notes that the lease must not be relied on until the next renewal."""
+        """Makes the lease invalid until the next renewal."""
         self._end = None
 
     def record_replacement(self, version: int) -> None:
-        """Notes that the stored lease is another process's; the next renewal replaces it."""
+        """Records that the stored lease is another process's; the next renewal replaces it."""
         self._end = None
-        self._tried = None
+        self._first_attempt = None
         self.version = version
 
     def is_valid(self, now: float) -> bool:
-        """Tells whether the holder may act as an owner."""
+        """Returns whether the holder may act as an owner."""
         if self._end is None or now >= self._end:
             return False
-        return self._doubted is None and not self._paused(now)
+        return self._paused_at is None and not self._pause_length(now)
 
     def remaining(self, now: float) -> float:
-        """Returns the seconds left to act in; 0 when it has lapsed."""
+        """Returns the seconds for which the holder may still act; 0 once the lease has lapsed."""
         return 0.0 if self._end is None else max(0.0, self._end - now)
 
     def is_settled(self, now: float) -> bool:
-        """Tells whether it has held for a whole term, so that all others know of this instance."""
+        """Returns whether it has been valid for so long that all others have seen this instance."""
         return self.is_valid(now) and now >= self.since + self._term + self._margin
 
-    def _paused(self, now: float) -> float:
-        """Returns the seconds for which the process did not run, if that is too long."""
-        gap = 0.0 if self._alive is None else now - self._alive
-        return gap if gap > self._margin else 0.0
+    def _pause_length(self, now: float) -> float:
+        """Returns for how many seconds the process did not run; 0 if no longer than the margin."""
+        pause = 0.0 if self._last_running is None else now - self._last_running
+        return pause if pause > self._margin else 0.0
 
     def _extend(self, sent_at: float) -> None:
-        until = sent_at + self._term - self._margin
-        self._end = until if self._end is None else max(self._end, until)
+        end = sent_at + self._term - self._margin
+        self._end = end if self._end is None else max(self._end, end)
 
 
 class PeerLease:
-    """Another instance's lease, as watched.
+    """Another instance's lease, as watched in the platform.
 
     Attributes:
-        version: Greatest version seen.
-        since: Time since which it has not been seen lapsed, in seconds.
+        version: Highest version seen.
+        since: Time since which it has not been seen to lapse, in seconds.
     """
 
-    __slots__ = ("_margin", "_seen", "_term", "since", "version")
+    __slots__ = ("_margin", "_renewal_seen_at", "_term", "since", "version")
 
     def __init__(self, term: float, margin: float, version: int, now: float) -> None:
         self._term = term
         self._margin = margin
-        self._seen = now
+        self._renewal_seen_at = now
         self.since = now
         self.version = version
 
     def observe(self, version: int, now: float) -> None:
-        """Notes a version; only a greater one extends the lease."""
+        """Records a version; only a higher one extends the lease."""
         if version <= self.version:
             return
         if self.has_lapsed(now):
             self.since = now
         self.version = version
-        self._seen = now
+        self._renewal_seen_at = now
 
     def has_lapsed(self, now: float) -> bool:
-        """Tells whether the holder can no longer rely on it."""
-        return now > self._seen + self._term + self._margin
+        """Returns whether the holder can no longer rely on it."""
+        return now > self._renewal_seen_at + self._term + self._margin
 
     def is_settled(self, now: float) -> bool:
-        """Tells whether it has been live for a whole term."""
+        """Returns whether it has not lapsed for a whole term."""
         return not self.has_lapsed(now) and now >= self.since + self._term
--- a/packages/wigeonarch-core/src/wigeonarch_core/lifecycle.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/lifecycle.py
@@ -1,9 +1,9 @@
-"""The one place that decides what an event means for a request.
+"""Decides what an event means for a request: its outcome if it ends there, and who may retry.
 
-A state table maps (phase, event) to a ruling: which outcome the request has if it ends here, and
-who may be retried. The table is safe because it is total over the pairs that can happen, and
-because `NotRun` only stands where no byte of the request can have reached an endpoint that could
-run it, or where an endpoint said that it refused before running.
+A state table maps (phase, event) to a disposition: the outcome of the request if it ends here, and
+which requests may be retried. The table is safe because it covers all pairs that can happen, and
+because it has `NotRun` only where no byte of the request can have reached an endpoint that could
+run it, or where an endpoint said that it refused the request before running it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Phase(enum.Enum):
-    """How far one dispatch of a request has come."""
+    """How far a dispatch of a request has progressed."""
 
     QUEUED = "queued"  # Nothing has been sent to an endpoint.
     SENT = "sent"  # Bytes may have reached the endpoint; no answer yet.
@@ -25,21 +25,21 @@
 
 
 class Event(enum.Enum):
-    """What can happen to a dispatch, apart from a whole answer."""
+    """What can happen to a dispatch, other than a complete answer."""
 
-    REFUSED = "refused"  # By the owner, a limit or the lack of an endpoint.
-    CONNECT_FAILED = "connect_failed"  # No connection, so nothing was sent.
-    DECLINED = "declined"  # The endpoint says that it did not run it.
+    REFUSED = "refused"  # The owner or a limit refused it, or there was no endpoint.
+    CONNECT_FAILED = "connect_failed"  # No connection was made, so nothing was sent.
+    DECLINED = "declined"  # The endpoint said that it did not run the request.
     LOST = "lost"  # The connection broke.
-    SILENT = "silent"  # No byte within the bound.
-    MISMATCH = "mismatch"  # The answer is of another adapter or version.
-    ERROR = "error"  # The endpoint says that it failed.
-    DEADLINE = "deadline"  # The request's time is over.
-    CANCELLED = "cancelled"  # The caller has gone.
+    SILENT = "silent"  # No byte arrived within the timeout.
+    MISMATCH = "mismatch"  # The answer came from another adapter or version.
+    ERROR = "error"  # The endpoint reported an error.
+    DEADLINE = "deadline"  # The request's deadline passed.
+    CANCELLED = "cancelled"  # The caller disconnected.
 
 
 class Retry(enum.Enum):
-    """Which requests may be tried again from here."""
+    """Which requests may be retried after an event."""
 
     NEVER = "never"
     IDEMPOTENT = "idempotent"
@@ -47,7 +47,7 @@
 
 
 class OutcomeKind(enum.Enum):
-    """Tag of the outcome if the request ends here."""
+    """Kind of outcome, if the request ends here."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -55,7 +55,12 @@
 
 
 class Disposition(msgspec.Struct, frozen=True):
-    """What an event means in a phase."""
+    """What an event means in a phase.
+
+    Attributes:
+        outcome_kind: Outcome of the request if it ends here.
+        retry: Which requests may be retried.
+    """
 
     outcome_kind: OutcomeKind
     retry: Retry
@@ -88,14 +93,14 @@
     (Phase.RUNNING, Event.CANCELLED): _UNKNOWN,
 }
 
-# Refusals that another endpoint, or the same one a moment later, cannot change.
+# Reasons of refusals for which a retry is useless, at this endpoint or another one.
 _FINAL_REASONS: Final = frozenset(
     {Reason.DEADLINE, Reason.DRAINING, Reason.FAIR_SHARE, Reason.RETRY_BUDGET}
 )
 
 
-# What may be different a moment later at the same endpoint.
-_PASSING: Final = frozenset(
+# Reasons that may be gone a moment later at the same endpoint.
+_TRANSIENT_REASONS: Final = frozenset(
     {
         Reason.NO_OWNER,
         Reason.LEASE_LOST,
@@ -105,25 +110,25 @@
     }
 )
 
-# Nothing was asked; why the endpoints before refused says more.
-_NOWHERE: Final = frozenset({Reason.NO_ENDPOINT, Reason.CIRCUIT_OPEN})
+# No endpoint was asked, so an earlier endpoint's reason to refuse is more informative.
+_NO_ENDPOINT_REASONS: Final = frozenset({Reason.NO_ENDPOINT, Reason.CIRCUIT_OPEN})
 
 
 def disposition_of(phase: Phase, event: Event) -> Disposition:
-    """Returns the ruling on an event; a pair that is not in the table is a broken invariant."""
+    """Returns the disposition for an event; a pair missing from the table is a broken invariant."""
     return DISPOSITIONS[phase, event]
 
 
 def may_retry(
     disposition: Disposition, reason: Reason, idempotent: bool, answer_started: bool
 ) -> bool:
-    """Tells whether a request may be tried again.
+    """Returns whether a request may be retried.
 
     Args:
-        rule: The ruling on what happened.
+        disposition: The disposition for what happened.
         reason: Why it happened.
         idempotent: Whether the request may run more than once.
-        shown: Whether part of an answer has already gone to the caller; a fresh run could
+        answer_started: Whether part of an answer has already gone to the caller; a new run could
             contradict it.
     """
     if answer_started or reason in _FINAL_REASONS:
@@ -134,31 +139,31 @@
 
 
 def may_retry_same_endpoint(reason: Reason) -> bool:
-    """Tells whether a retry may go to the same endpoint again, when there is no other."""
-    return reason in _PASSING
+    """Returns whether a retry may go to the same endpoint again if there is no other."""
+    return reason in _TRANSIENT_REASONS
 
 
 def combine_outcomes(earlier: Outcome | None, latest: Outcome) -> Outcome:
-    """Returns what a caller is told after several attempts.
+    """Returns the outcome that a caller gets after several attempts.
 
-    That the last attempt did not run says nothing of those before it. Example: an engine restarts
-    under a request, and the retry finds no other engine; the request ran, in part. And why an
-    endpoint refused goes before that there was no further one to ask.
+    If the last attempt did not run, this says nothing about the earlier ones. Example: an engine
+    restarts while it runs a request, and the retry finds no other engine; the request did run in
+    part. An endpoint's reason to refuse also takes precedence over the fact that there was no
+    further endpoint to ask.
 
     Args:
-        earlier: What the caller would have been told before the last attempt; None if that was the
-            first.
-        latest: What the last attempt alone would be told.
+        earlier: The outcome before the last attempt; None if that was the first.
+        latest: The outcome of the last attempt alone.
     """
     if earlier is None or not isinstance(latest, NotRun):
         return latest
-    if not isinstance(earlier, NotRun) or latest.reason in _NOWHERE:
+    if not isinstance(earlier, NotRun) or latest.reason in _NO_ENDPOINT_REASONS:
         return earlier
     return latest
 
 
 def outcome_of(disposition: Disposition, reason: Reason, retry_after: float) -> Outcome:
-    """Returns the outcome of a request that ends with this ruling."""
+    """Returns the outcome of a request that ends with this disposition."""
     if disposition.outcome_kind is OutcomeKind.NOT_RUN:
         return NotRun(reason, retry_after)
     if disposition.outcome_kind is OutcomeKind.UNKNOWN:
--- a/packages/wigeonarch-core/src/wigeonarch_core/listing.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/listing.py
@@ -1,12 +1,13 @@
-"""The platform's list of instances, read by the instances of a zone in turn.
+"""The platform's list of instances, which the instances of a zone take turns to read.
 
-The list grows with the deployment and each instance would read all of it each second. Instead each
-reads it the less often, the more peers its zone has, and tells them what differs from what the zone
-knew. Safe because a message that is lost, or a peer that falls silent, costs no more than the wait
-for one's own next turn, and news that was held up at its sender is not used.
+The list grows with the deployment, and it would be costly if each instance read all of it every
+second. Instead, the more peers an instance has in its zone, the less often it reads the list, and
+it sends its peers what differs from what the zone knew. If such an update is lost, or a peer stops
+sending any, an instance is late by no more than the time to its own next read. An update that was
+held up at its sender is not used.
 
-Example: with 34 instances in the zone and an interval of a second, each reads the list every 34 s,
-and the zone as a whole each second.
+Example: with 34 instances in the zone and an interval of a second, each instance reads the list
+every 34 seconds, so the zone as a whole reads it every second.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 
 import msgspec
 
-MAX_READ_INTERVAL: Final = 60.0
-MAX_UPDATE_AGE: Final = 2.0
+MAX_READ_INTERVAL: Final = 60.0  # Seconds.
+MAX_UPDATE_AGE: Final = 2.0  # Seconds from the request for the list to the sending of the update.
 
 
 class Role(enum.StrEnum):
-    """What a listed instance does."""
+    """What kind of process a listed instance is."""
 
     ENTRY = "entry"
     ENGINE = "engine"
@@ -43,8 +44,8 @@
         name: Unique name.
         address: `IP:PORT` of its HTTP port.
         zone: Its availability zone.
-        role: What it does.
-        service: Service that it serves; empty for entry instances.
+        role: What kind of process it is.
+        service: Name of the service that it serves; empty for entry instances.
         state: Whether it takes new work.
     """
 
@@ -57,13 +58,13 @@
 
 
 class ListUpdate(msgspec.Struct, frozen=True, tag="ListNews", array_like=True):
-    """What an instance found to differ when it read the list.
+    """What an instance found changed when it read the list.
 
     Attributes:
         sender: Name of the instance.
-        put: Items that are new or differ.
-        gone: Names that are no longer on the list.
-        age: Seconds from the request for the list to the sending of the news.
+        changed: Items that are new or differ.
+        removed: Names that are no longer on the list.
+        age: Seconds from the request for the list to the sending of the update.
     """
 
     sender: str
@@ -79,48 +80,55 @@
         items: The items, by name.
     """
 
-    __slots__ = ("_read", "items")
+    __slots__ = ("_has_read", "items")
 
     def __init__(self) -> None:
         self.items: dict[str, Listed] = {}
-        self._read = False
+        self._has_read = False
 
-    def replace(self, me: str, items: Iterable[Listed], age: float) -> ListUpdate | None:
-        """Takes over the whole list; returns what peers may not know, None when nothing differs.
+    def replace(self, own_name: str, items: Iterable[Listed], age: float) -> ListUpdate | None:
+        """Replaces the list by one that was read.
 
         Args:
-            me: Name of this instance.
+            own_name: Name of this instance.
             items: The list.
-            age: Seconds since it was asked for.
+            age: Seconds since it was requested.
+
+        Returns:
+            What peers may not know yet; None if nothing has changed.
         """
-        first = not self._read
+        first = not self._has_read
         fresh = {item.name: item for item in items}
-        put = tuple(item for name, item in fresh.items() if self.items.get(name) != item)
-        gone = tuple(name for name in self.items if name not in fresh)
+        changed = tuple(item for name, item in fresh.items() if self.items.get(name) != item)
+        removed = tuple(name for name in self.items if name not in fresh)
         self.items = fresh
-        self._read = True
-        # The first reading differs in everything, and says nothing new to the others.
-        return None if first or not (put or gone) else ListUpdate(me, put, gone, age)
-
-    def apply(self, news: ListUpdate) -> bool:
-        """Takes over a peer's news; False when it is of no use.
-
-        News is of no use before the first reading, and when the peer was held up between asking for
-        the list and sending: what it found may have been overtaken.
+        self._has_read = True
+        # After the first read everything differs, but none of it is new to the others.
+        return (
+            None
+            if first or not (changed or removed)
+            else ListUpdate(own_name, changed, removed, age)
+        )
+
+    def apply(self, update: ListUpdate) -> bool:
+        """Applies a peer's update; returns False if the update can't be used.
+
+        An update can't be used before this instance's first read, nor if the peer was held up
+        between requesting the list and sending the update: the list may have changed since.
         """
-        if not self._read or news.age > MAX_UPDATE_AGE:
+        if not self._has_read or update.age > MAX_UPDATE_AGE:
             return False
-        self.items.update((item.name, item) for item in news.changed)
-        for name in news.removed:
+        self.items.update((item.name, item) for item in update.changed)
+        for name in update.removed:
             self.items.pop(name, None)
         return True
 
 
 def read_interval(interval: float, peers: int) -> float:
-    """Returns the seconds between two readings of one instance.
+    """Returns the seconds between two reads of the list by one instance.
 
     Args:
-        interval: Seconds between two readings of the whole zone.
-        peers: Other instances of the zone that take turns.
+        interval: Seconds between two reads by any instance of the zone.
+        peers: Number of other instances of the zone that take turns.
     """
     return max(interval, min(MAX_READ_INTERVAL, interval * (peers + 1)))
--- a/packages/wigeonarch-core/src/wigeonarch_core/load_permits.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/load_permits.py
@@ -1,10 +1,11 @@
-"""The turn to load: the weight store's rate, shared by all engines of a deployment.
-
-One holder collects the bids and gives turns: no faster than the store's rate, and only as many at a
-time as run at full speed. The best bid goes first. A zone that has had less than its guaranteed
-share goes before others, and what it doesn't use is lent to them. Each given turn has a lease, so a
-bidder that died delays the rest no longer than that. A holder that reaches only some zones gives
-only their shares of the rate, so holders on both sides of a cut together keep the limit.
+"""Load permits: they share the weight store's load rate among all engines of a deployment.
+
+One instance, the coordinator, collects bids and grants permits: no faster than the store's rate,
+and only as many at a time as can run at full speed. The best bid is granted first. A zone that has
+had less than its guaranteed share goes before the others; the share that it does not use goes to
+them. Each permit has a lease, so a bidder that fails delays the others no longer than that. A
+coordinator that reaches only some zones grants only their shares of the rate, so during a network
+partition the coordinators on both sides together stay within the limit.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 from wigeonarch_core.policy_options import PolicyOptions
 
-BURST: Final = 1.0
+BURST: Final = 1.0  # Greatest number of permits saved up, per zone and overall.
 
 
 @dataclass(slots=True)
@@ -26,7 +27,7 @@
 
 
 class LoadPermits:
-    """Bids and given turns at the holder of the turn to load.
+    """Bids and granted permits, kept by the load permit coordinator.
 
     Attributes:
         zones: Availability zones of the deployment, each with an equal share of the load rate.
@@ -54,12 +55,12 @@
         self._refilled_at = now
 
     def set_reachable_zones(self, zones: Collection[str], now: float) -> None:
-        """Sets the zones that this holder reaches; only their shares are given."""
+        """Sets the zones that this coordinator reaches; only their shares are granted."""
         self._refill(now)
         self._reachable = frozenset(zones)
 
     def add_bid(self, bid_id: str, zone: str, value: float, now: float) -> None:
-        """Adds a bid, or changes its value; a bid that has its turn stays as it is."""
+        """Adds a bid, or changes its value; does nothing if the bid holds a permit."""
         if bid_id in self._granted:
             return
         known = self._bids.get(bid_id)
@@ -67,16 +68,16 @@
         self._bids[bid_id] = _Bid(zone, value, since)
 
     def withdraw(self, bid_id: str) -> None:
-        """Removes a bid that has no turn yet."""
+        """Removes a bid that holds no permit yet."""
         self._bids.pop(bid_id, None)
 
     def end_load(self, bid_id: str, now: float) -> None:
-        """Ends a bid, and its turn if it has one."""
+        """Removes a bid, and returns its permit if it holds one."""
         self._bids.pop(bid_id, None)
         self._granted.pop(bid_id, None)
 
     def grant_due(self, now: float) -> list[str]:
-        """Returns the bids that get their turn now."""
+        """Grants the permits that are due; returns the ids of their bids."""
         self._refill(now)
         self._granted = {bid_id: until for bid_id, until in self._granted.items() if until > now}
         chosen: list[str] = []
@@ -85,7 +86,7 @@
         return chosen
 
     def next_due(self, now: float) -> float:
-        """Returns the time in seconds at which `decide` should run if nothing happens before."""
+        """Returns the time, in seconds, at which `grant_due` should run at the latest."""
         idle = now + self._opts.idle_interval
         if not self._bids:
             return idle
@@ -104,8 +105,8 @@
 
     def _rank(self, bid_id: str) -> tuple[bool, float, float, str]:
         bid = self._bids[bid_id]
-        owed = self._zone_credit.get(bid.zone, 0.0) >= 1.0
-        return owed, bid.value, -bid.since, bid_id
+        is_owed = self._zone_credit.get(bid.zone, 0.0) >= 1.0
+        return is_owed, bid.value, -bid.since, bid_id
 
     def _rate(self) -> float:
         share = len(self._reachable & set(self.zones)) / max(1, len(self.zones))
--- a/packages/wigeonarch-core/src/wigeonarch_core/messages.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/messages.py
@@ -1,10 +1,10 @@
 """Messages between instances, encoded as MessagePack by msgspec.
 
-Fields travel by their place, not by their names, which makes a heartbeat a third as long; so a new
-field is added at the end, with a default, and none is taken out while an older version may run.
+Fields are encoded by position, not by name, which makes a heartbeat a third as long. So a new field
+is added at the end, with a default, and no field is removed while an older version may run.
 
 Each message is a tagged struct, so a reader decodes to a type and never to a bare map. Durations
-travel as seconds that remain or have passed; points in time never travel, as clocks differ.
+are sent as seconds that remain or have passed; points in time are never sent, as clocks differ.
 """
 
 from __future__ import annotations
@@ -22,18 +22,19 @@
     """Asks the owner of an engine for a grant to use it.
 
     Attributes:
-        ask: Identifies the ask; also the dispatch id that the engine will see.
-        asker: Name of the asking instance.
+        dispatch_id: Identifies the grant request and the dispatch to the engine that it is for.
+        requester: Name of the requesting instance.
         engine: Name of the engine.
-        target: Adapter version to be served by.
+        target: Adapter version that the request needs.
         caller: Whose request it is, for fair shares.
-        priority: Greater goes first.
+        priority: A higher one goes first.
         remaining: Seconds until the request's deadline.
         tokens: Upper bound of tokens to generate.
-        prefix: Digest of the prompt's first block; 0 when unknown.
-        round: Counts the repetitions of this ask. An asker repeats an ask while it waits, and takes
-            a grant only for a recent round, so a grant that was held up is worth nothing.
-        boot: Nonce made at the asker's start.
+        prefix: Digest of the prompt's first block; 0 if unknown.
+        round: Number of this sending. A requester sends its grant request again and again while it
+            waits, and accepts a grant only for a recent round, so a grant that was held up is worth
+            nothing.
+        boot: Nonce made at the start of the requester's process.
     """
 
     dispatch_id: str
@@ -50,16 +51,16 @@
 
 
 class Granted(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The adapter version is pinned in the engine for this ask.
+    """The adapter version is pinned in the engine for a grant request.
 
     Attributes:
-        ask: The ask answered.
-        round: Last round of the ask that the owner had received.
-        waited: Seconds the ask waited at the owner.
-        stalled: The part of it spent waiting for a load.
+        dispatch_id: Identifies the grant request.
+        round: Last round of the grant request that the owner had received.
+        waited: Seconds that the grant request waited at the owner.
+        stalled: The part of that time spent waiting for a load.
         engine: Name of the engine.
-        fence: Fencing number of the ownership in which it was granted. An asker that has declared
-            its pins to a newer owner takes no grant of an older one.
+        fence: Fencing token of the ownership in which it was granted. A requester that has declared
+            its pins to a newer owner accepts no grant from an older one.
     """
 
     dispatch_id: str
@@ -71,7 +72,13 @@
 
 
 class Refused(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The owner will not grant this ask; nothing of it will run."""
+    """The owner refuses a grant request; the request was not and will not be run there.
+
+    Attributes:
+        dispatch_id: Identifies the grant request.
+        reason: Why it is refused.
+        retry_after: Seconds after which a retry makes sense.
+    """
 
     dispatch_id: str
     reason: Reason
@@ -79,7 +86,13 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The asker no longer uses the grant, or no longer waits for it."""
+    """The requester no longer uses a grant, or no longer waits for it.
+
+    Attributes:
+        dispatch_id: Identifies the grant request.
+        requester: Name of the requesting instance.
+        engine: Name of the engine.
+    """
 
     dispatch_id: str
     requester: str
@@ -90,7 +103,7 @@
     """One use of an adapter version.
 
     Attributes:
-        ask: Identifies the request.
+        dispatch_id: Identifies the dispatch that uses it.
         target: Adapter version in use.
         remaining: Seconds until the request's hard deadline.
     """
@@ -101,15 +114,15 @@
 
 
 class HeldPins(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """All pins that an instance holds on one engine; complete, so what is not listed is gone.
+    """Declares all pins that an instance holds on one engine; a pin that is not listed has ended.
 
     Attributes:
-        asker: Name of the declaring instance.
+        requester: Name of the declaring instance.
         boot: Nonce made at its start; a new process knows nothing of the pins of the one before.
         engine: Name of the engine.
-        fence: Fencing number of the ownership to which they are declared.
-        number: Number of the request that this answers.
-        held: The pins.
+        fence: Fencing token of the ownership to which the pins are declared.
+        number: Number of the owner's request that this answers.
+        pins: The pins.
     """
 
     requester: str
@@ -121,13 +134,13 @@
 
 
 class DeclarePins(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """An owner asks an instance to declare the pins it holds on an engine.
+    """An owner asks an instance to declare the pins that it holds on an engine.
 
     Attributes:
         engine: Name of the engine.
         owner: Name of the owner that asks.
-        fence: Fencing number of its ownership.
-        number: Counts the owner's requests for this engine.
+        fence: Fencing token of its ownership.
+        number: Number of this request among the owner's requests for this engine.
     """
 
     engine: str
@@ -137,7 +150,7 @@
 
 
 class Support(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """An owner that can't renew its lease asks a peer of its zone for support.
+    """An owner that can't renew its lease asks a peer of its zone for lease support.
 
     Attributes:
         round: Number of the request.
@@ -151,21 +164,37 @@
 
 
 class Promised(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The peer will not take over from the owner for one term from receipt of the request."""
+    """The peer will not take over from the owner for one term after it received the request.
+
+    Attributes:
+        round: Number of the request for lease support.
+        peer: Name of the peer that promises.
+    """
 
     round: int
     peer: str
 
 
 class Renewed(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The peer has renewed the owner's lease in request `round`; it is stored as `version`."""
+    """The peer has renewed the owner's lease on its behalf.
+
+    Attributes:
+        round: Number of the request for lease support.
+        version: Version of the stored lease after the renewal.
+    """
 
     round: int
     version: int
 
 
 class OfferedPin(msgspec.Struct, frozen=True, array_like=True):
-    """A pin that goes to a new owner: who holds it, in which process, and what it holds."""
+    """A pin that is passed on to a new owner.
+
+    Attributes:
+        requester: Name of the instance that holds the pin.
+        boot: Nonce of its process.
+        pin: The pin.
+    """
 
     requester: str
     boot: str
@@ -177,10 +206,10 @@
 
     Attributes:
         engine: Name of the engine.
-        owner: Name of the present owner; it grants and orders nothing on the engine any more.
-        fence: Fencing number of its ownership.
+        owner: Name of the current owner; it no longer grants or orders anything on the engine.
+        fence: Fencing token of its ownership.
         pins: All pins.
-        queue: The asks that wait, first come first.
+        queue: The waiting grant requests, first come first.
     """
 
     engine: str
@@ -197,7 +226,7 @@
         engine: Name of the engine.
         successor: Name of the successor.
         boot: Nonce made at its start.
-        fence: Fencing number in the offer.
+        fence: Fencing token in the offer.
     """
 
     engine: str
@@ -207,14 +236,14 @@
 
 
 class Moved(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """An engine has a new owner; askers repeat their asks to it at once.
+    """An engine has a new owner; requesters send it their grant requests again at once.
 
     Attributes:
         engine: Name of the engine.
         owner: Name of the new owner.
         boot: Nonce made at its start.
-        fence: Fencing number of the new ownership.
-        last: Fencing number of the one before.
+        fence: Fencing token of the new ownership.
+        previous_fence: Fencing token of the ownership before.
     """
 
     engine: str
@@ -225,19 +254,19 @@
 
 
 class EngineSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner tells its peers about one engine, for choosing among engines.
+    """What an owner tells its peers about one engine, so that they can choose among engines.
 
     Attributes:
         engine: Name of the engine.
-        fence: Fencing number of the ownership.
-        loaded: Adapter versions ready in slots.
-        coming: Adapter versions being loaded, and those most waited for; bounded.
+        fence: Fencing token of the ownership.
+        loaded: Adapter versions that are ready in slots.
+        coming: Adapter versions being loaded, and those with the most waiting requests; bounded.
         free: Batch places not in use.
-        queued: Asks that wait.
-        wait: Seconds a new ask for a loaded adapter is expected to wait.
-        incarnation: Of the engine's last report; empty before the first.
+        queued: Number of waiting grant requests.
+        wait: Seconds that a new grant request for a loaded adapter is expected to wait.
+        incarnation: Incarnation in the engine's last report; empty before the first.
         leaving: Whether that report says that the engine takes no new work.
-        backlog: Loads that asks wait for.
+        backlog: Number of loads that grant requests wait for.
     """
 
     engine: str
@@ -253,24 +282,26 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Tells peers that an instance lives, what it has applied and what it owns.
+    """Tells peers that an instance is alive, what it has applied and what it owns.
 
     Attributes:
         instance: Name of the sender.
         zone: Its availability zone.
         boot: Nonce made at its start.
-        applied: Number of the last configuration change in force there.
+        applied: Number of the last configuration change that it has applied.
         draining: Whether it is shutting down.
-        platform: Whether it reaches the platform.
-        engines: Summaries of the engines it owns.
-        promised: Owners of its zone from which it has promised not to take over.
+        platform: Whether its last call for its lease reached the platform.
+        engines: Summaries of the engines that it owns.
+        promised_owners: Owners of its zone from which it has promised not to take over.
         leased: Whether the platform holds its lease; see `serving_right`.
-        reaches: Whether the platform has answered of late.
-        settled: Whether it has been doing so for so long that the zone knows.
-        peer: Its address for messages, for those who can't read its lease.
-        sent: When it was sent, by the sender's clock; means nothing to others but as an echo.
-        echo: `sent` of the last heartbeat that the sender had from the receiver; 0 without one. It
-            tells the receiver, by its own clock, what this heartbeat is at least as new as.
+        reaches: Whether the platform has answered it recently.
+        settled: Whether the platform has been answering for so long that all instances of its zone
+            know.
+        peer_address: Its address for messages, for those that can't read its lease.
+        sent: When it was sent, by the sender's clock; of no use to others except to echo it.
+        echo: `sent` of the last heartbeat that the sender got from the receiver; 0 if none. It
+            tells the receiver, by its own clock, that this heartbeat is at least as new as that
+            one.
     """
 
     instance: str
@@ -290,7 +321,13 @@
 
 
 class ChangeNotice(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Tells a peer of a change that is in the log, so that it need not wait for its watch."""
+    """Tells a peer of a change in the change log, so that it need not wait for its watch.
+
+    Attributes:
+        number: Number of the change.
+        sender: Name of the sending instance.
+        change: The change.
+    """
 
     number: int
     sender: str
@@ -298,14 +335,14 @@
 
 
 class LoadBid(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """An owner asks for the turn to load.
+    """An owner asks for a permit to load from the weight store.
 
     Attributes:
         bid: Identifies the bid.
         owner: Name of the bidding instance.
         engine: Engine that is to load.
         target: Adapter version to load.
-        value: Stall seconds saved per second of weight store.
+        value: Seconds of stalling saved per second of use of the weight store.
     """
 
     bid: str
@@ -316,13 +353,18 @@
 
 
 class LoadPermit(msgspec.Struct, frozen=True, tag="LoadTurn", array_like=True):
-    """The turn to load is given to a bid."""
+    """A bid gets its permit to load."""
 
     bid: str
 
 
 class LoadEnded(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The load of a bid has ended, well or not."""
+    """The load of a bid has ended, successfully or not.
+
+    Attributes:
+        bid: Identifies the bid.
+        owner: Name of the instance that loaded.
+    """
 
     bid: str
     owner: str
@@ -354,12 +396,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """Returns the MessagePack form of a message."""
+    """Returns the MessagePack encoding of a message."""
     return _encoder.encode(message)
 
 
 def decode(frame: bytes) -> Message | None:
-    """Returns the message in a frame, or None when it is not one that this version knows."""
+    """Returns the message in a frame; None if this version does not know such a message."""
     try:
         decoded: Message = _decoder.decode(frame)
     except msgspec.DecodeError:
--- a/packages/wigeonarch-core/src/wigeonarch_core/options.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/options.py
@@ -1,4 +1,4 @@
-"""Options of one instance: one frozen object that is handed down, made by `settings`."""
+"""Options of one instance: a single frozen object, made by `settings` and passed down."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 
 class Timing(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Terms and bounds, all in seconds.
+    """Intervals and timeouts, all in seconds.
 
     Attributes:
-        lease_term: How long an instance's lease holds after a renewal.
-        lease_margin: How long before its end the holder stops relying on it.
-        heartbeat: Pause between heartbeats to peers.
+        lease_term: How long an instance's lease is valid after a renewal.
+        lease_margin: How long before its end the instance stops relying on it.
+        heartbeat: Interval between heartbeats to peers.
         peer_timeout: Silence after which a peer counts as unreachable.
-        list_interval: Pause between two reads of the platform's list of instances.
-        report_interval: Pause between two reads of an engine's report.
-        grant_validity: How long after its own ask an asker may use a grant.
-        connect_timeout: Bound on opening a connection.
-        call_timeout: Bound on one call to the platform.
-        first_token_timeout: Bound on the wait for the first chunk after sending.
-        token_timeout: Silence within a stream after which it is resumed.
-        body_timeout: Bound on the arrival of a caller's body.
-        write_timeout: Longest time for which a caller of a stream may read nothing.
-        watch_silence: Silence after which a watch is opened anew.
-        accept_wait: How long a configuration call waits for the change to be in force.
-        drain_report: Pause between log lines while a draining instance waits for requests.
+        list_interval: Interval between reads of the platform's list of instances.
+        report_interval: Interval between reads of an engine's report.
+        grant_validity: How long after sending a grant request an instance may use the grant.
+        connect_timeout: Timeout for opening a connection.
+        call_timeout: Timeout of one call to the platform.
+        first_token_timeout: Timeout for the first chunk after a request is sent.
+        token_timeout: Silence within a stream after which the stream is resumed.
+        body_timeout: Timeout for receiving the body of a caller's request.
+        write_timeout: Longest time for which the caller of a stream may read nothing.
+        watch_silence: Silence after which a watch is reopened.
+        accept_wait: How long a configuration call waits for the change to take effect.
+        drain_report: Interval between log lines while a draining instance waits for requests.
         drain_notice: How long a draining instance still answers callers, if only to refuse, so that
-            balancers can see that it is not ready before its door closes.
+            load balancers can see that it is not ready before its server closes.
         default_deadline: Deadline of a request that names none.
         max_deadline: Longest deadline that a request may name.
         key_retention: How long the record of an idempotency key is kept.
@@ -57,20 +57,20 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Bounds of one instance.
+    """Limits of one instance.
 
     Attributes:
         body_bytes: Largest body of a caller's request.
         header_bytes: Largest header line of a caller's request.
-        requests: Requests in progress at once.
+        requests: Requests in progress at the same time.
         streams: Concurrent streams on one RPC connection.
-        event_streams: Streamed answers in progress at once at the HTTP door.
+        event_streams: Streamed responses in progress at the same time at the HTTP server.
         prompt_chars: Longest prompt, in characters.
-        max_tokens: Most tokens that one request may ask for.
-        retry_share: Retries allowed as a share of fresh requests.
-        retries: Most retries of one request.
+        max_tokens: Greatest number of tokens that one request may generate.
+        retry_share: Allowed retries, as a share of fresh requests.
+        retries: Greatest number of retries of one request.
         explained: Requests whose decisions are remembered.
-        snapshot_every: Changes of the configuration between two snapshots.
+        snapshot_every: Configuration changes between two snapshots.
     """
 
     body_bytes: int = 1 << 20
@@ -92,16 +92,16 @@
     Attributes:
         instance: Name of this instance, unique in the deployment.
         zone: Its availability zone.
-        http: `IP:PORT` of the callers' HTTP door, the metrics and the probes.
-        rpc: `IP:PORT` of the RPC door.
+        http: `IP:PORT` of the HTTP server for callers, metrics and probes.
+        rpc: `IP:PORT` of the RPC server.
         peer: `IP:PORT` that this instance listens on for other instances.
-        peer_public: `IP:PORT` that other instances connect to; empty when it is `peer`.
-        source: IP that connections to other programs come from; empty leaves it to the system.
-        platform: `IP:PORT` of the platform's object API; several are tried in turn.
-        log_level: Least level that is logged.
-        timing: Terms and bounds.
-        limits: Bounds on work accepted.
-        policy: Placement, loads and queues, with the weights of the objective.
+        peer_public: `IP:PORT` that other instances connect to; empty if it is `peer`.
+        source: Source IP of outgoing connections; empty leaves it to the system.
+        platform: `IP:PORT` of each server of the platform's object API; they are tried in turn.
+        log_level: Lowest level that is logged.
+        timing: Intervals and timeouts.
+        limits: Limits on accepted work.
+        policy: Settings of placement, loads and queues, with the weights of the objective.
     """
 
     instance: str
--- a/packages/wigeonarch-core/src/wigeonarch_core/outcomes.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/outcomes.py
@@ -1,7 +1,7 @@
-"""How a request can end: exactly one of four tagged outcomes.
+"""Outcomes of requests: each request ends with exactly one of four tagged types.
 
-`NotRun` is a promise (nothing of the request ran), `Unknown` is the honest answer when neither that
-nor the contrary can be known. Which of the two applies is decided in `lifecycle`, nowhere else.
+`NotRun` guarantees that nothing of the request ran. `Unknown` is returned when it cannot be known
+whether the request ran. Only `lifecycle` decides which of the two applies.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a request was refused, retried or failed; the label of the metrics' counters."""
+    """Why a request was refused, retried or failed; used as a label of metrics."""
 
-    # The caller's mistakes.
+    # Errors of the caller.
     MALFORMED = "malformed"
     NO_SUCH_SERVICE = "no_such_service"
     NO_SUCH_ADAPTER = "no_such_adapter"
@@ -43,7 +43,7 @@
     PLATFORM_DOWN = "platform_down"
     LOAD_FAILED = "load_failed"
     LEASE_LOST = "lease_lost"
-    # What an endpoint did.
+    # Behavior of an endpoint.
     ENDPOINT_LEAVING = "endpoint_leaving"
     ENDPOINT_OVERLOADED = "endpoint_overloaded"
     NOT_LOADED = "not_loaded"
@@ -56,14 +56,15 @@
 
 
 class Answered(msgspec.Struct, frozen=True):
-    """The whole answer, from the adapter and version that the request named.
+    """The complete response, from the adapter and version that the request named.
 
     Attributes:
-        text: The generated text, or the plain service's body.
+        text: The generated text, or the body of the plain service's response.
         tokens: Number of generated tokens; 0 for plain services.
         finish: Why the engine stopped: `stop` or `length`.
-        version: Adapter version that ran it, if not the one that this request resolved to: the
-            answer to an earlier request with the same idempotency key, from before a rule moved.
+        version: Adapter version that ran it, if not the one that this request resolved to. That
+            happens when an earlier request with the same idempotency key ran before a routing rule
+            changed.
     """
 
     text: str
@@ -73,12 +74,12 @@
 
 
 class NotRun(msgspec.Struct, frozen=True):
-    """Nothing of the request ran, and nothing of it will.
+    """Nothing of the request ran, and nothing of it will run.
 
     Attributes:
         reason: Why.
-        retry_after: Seconds after which a new try makes sense; 0 when none would.
-        detail: More about it, for people: which part of the request is wrong.
+        retry_after: Seconds after which the caller should try again; 0 if that would not help.
+        detail: Details for people, such as which part of the request is wrong.
     """
 
     reason: Reason
@@ -87,7 +88,7 @@
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """The request may have run; whether it did cannot be known."""
+    """The request may have run; it cannot be known whether it did."""
 
     reason: Reason
 
@@ -97,8 +98,8 @@
 
     Attributes:
         reason: Why.
-        status: HTTP status of a plain service's own answer; 0 if none.
-        body: That answer's body.
+        status: HTTP status of the plain service's own response; 0 if none.
+        body: Body of that response.
     """
 
     reason: Reason
--- a/packages/wigeonarch-core/src/wigeonarch_core/permits.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/permits.py
@@ -1,15 +1,15 @@
-"""Permits for requests to an endpoint that takes only so many a second from all instances.
+"""Permits for requests to an endpoint that limits its rate of requests from all instances together.
 
-One instance gives the permits for an endpoint; the sum over the others is what it gave. A permit is
-used within `HOLDS` or is void, so those given in a window and a moment before it are all that can
-arrive there:
+For each endpoint, a single instance grants the permits to all instances. A permit expires
+`PERMIT_LIFETIME` after it was granted, so only permits granted in a window or shortly before it can
+cause requests in that window. Their number is at most:
 
-    rate x USED x (window + HOLDS) + AT_ONCE
+    rate x USED_SHARE x (window + PERMIT_LIFETIME) + MAX_SAVED_PERMITS
 
-That stays below the rate that was named, but for the few that are given at once after a calm time.
-Part of the rate is not given: two instances may both give permits for a moment, while they hear
-different peers. An instance that begins to give them may do so after another one, and starts with
-none.
+That stays below the endpoint's rate, except for the few permits that are granted at once after a
+quiet period. Not all of the rate is granted, because two instances may both grant permits for a
+moment while they reach different peers. An instance that starts to grant permits may follow another
+one that did, so it starts without saved permits.
 """
 
 from __future__ import annotations
@@ -17,42 +17,44 @@
 from typing import Final
 
 PERMIT_LIFETIME: Final = 0.5  # Seconds for which a permit may be used.
-USED_SHARE: Final = 0.8  # Share of the rate that is given.
-MAX_SAVED_PERMITS: Final = 2.0  # Permits that are saved up at most.
-MAX_WAIT: Final = 10.0  # Seconds after which a permit is asked for again at the latest.
+USED_SHARE: Final = 0.8  # Share of the rate that is granted.
+MAX_SAVED_PERMITS: Final = 2.0  # Capacity of the bucket.
+MAX_WAIT: Final = 10.0  # Longest wait, in seconds, before a permit is requested again.
 
 
 class PermitBucket:
-    """The permits of one endpoint."""
+    """Token bucket of the permits of one endpoint."""
 
-    __slots__ = ("_at", "_level", "_rate")
+    __slots__ = ("_filled_at", "_level", "_rate")
 
     def __init__(self, rate: float, now: float) -> None:
-        """Makes an empty bucket; `rate` is the requests a second that the endpoint named."""
+        """Starts empty; `rate` is the endpoint's limit, in requests per second."""
         self._rate = rate * USED_SHARE
         self._level = 0.0
-        self._at = now
+        self._filled_at = now
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Takes another rate from now on."""
+        """Changes the endpoint's rate, from now on."""
         self._fill(now)
         self._rate = rate * USED_SHARE
 
     def seconds_until_permit(self, now: float) -> float:
-        """Returns the seconds until there is a permit; 0 when there is one."""
+        """Returns the seconds until a permit is available; 0 if one is."""
         self._fill(now)
-        lacks = 1.0 - self._level
-        if lacks <= 0.0:
+        missing = 1.0 - self._level
+        if missing <= 0.0:
             return 0.0
-        return min(MAX_WAIT, lacks / self._rate) if self._rate > 0.0 else MAX_WAIT
+        return min(MAX_WAIT, missing / self._rate) if self._rate > 0.0 else MAX_WAIT
 
     def take(self, now: float) -> bool:
-        """Takes a permit; False when there is none."""
+        """Takes a permit; returns False if none is available."""
         if self.seconds_until_permit(now) > 0.0:
             return False
         self._level -= 1.0
         return True
 
     def _fill(self, now: float) -> None:
-        self._level = min(MAX_SAVED_PERMITS, self._level + self._rate * max(0.0, now - self._at))
-        self._at = now
+        self._level = min(
+            MAX_SAVED_PERMITS, self._level + self._rate * max(0.0, now - self._filled_at)
+        )
+        self._filled_at = now
--- a/packages/wigeonarch-core/src/wigeonarch_core/pins.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/pins.py
@@ -1,8 +1,8 @@
-"""Pins: which requests use which adapter version of one engine.
+"""Pins: which dispatches use which adapter version of one engine.
 
-A pin begins with a grant, or with a peer's declaration, and ends with the asker's release. When
-that never comes, it ends only after the request's hard deadline plus a margin, and once a report
-that is younger than that shows the adapter idle; until then the copy can't be evicted.
+A pin begins with a grant, or with a peer's declaration, and ends when the requester releases it. If
+no release comes, the pin ends only after the request's hard deadline plus a margin, once a report
+sampled after that shows the adapter idle. Until then the loaded copy can't be evicted.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 @dataclass(slots=True)
 class Pin:
-    """One request's use of an adapter version.
+    """The use of an adapter version by one dispatch.
 
     Attributes:
-        ask: Identifies the request.
-        asker: Instance that holds the grant.
+        dispatch_id: Identifies the dispatch.
+        requester: Instance that holds the grant.
         target: Adapter version in use.
         deadline: Hard deadline in seconds.
         since: Time of the grant, or of the declaration, in seconds.
-        tokens: Upper bound of tokens to generate; 0 when unknown.
+        tokens: Upper bound of tokens to generate; 0 if unknown.
     """
 
     dispatch_id: str
@@ -47,11 +47,11 @@
     def __len__(self) -> int:
         return len(self._pins)
 
-    def __contains__(self, ask_id: str) -> bool:
-        return ask_id in self._pins
+    def __contains__(self, dispatch_id: str) -> bool:
+        return dispatch_id in self._pins
 
     def count(self, target: AdapterVersion) -> int:
-        """Returns how many requests use an adapter version."""
+        """Returns how many dispatches use an adapter version."""
         return self._targets[target]
 
     def targets(self) -> list[AdapterVersion]:
@@ -59,15 +59,15 @@
         return list(self._targets)
 
     def add(self, pin: Pin) -> None:
-        """Adds a pin; one that is there already stays as it is."""
+        """Adds a pin; if there is one for the same dispatch, it stays as it is."""
         if pin.dispatch_id in self._pins:
             return
         self._pins[pin.dispatch_id] = pin
         self._targets[pin.target] += 1
 
-    def remove(self, ask_id: str) -> Pin | None:
-        """Ends a pin; returns None if there is none."""
-        pin = self._pins.pop(ask_id, None)
+    def remove(self, dispatch_id: str) -> Pin | None:
+        """Removes and returns a pin; returns None if there is none."""
+        pin = self._pins.pop(dispatch_id, None)
         if pin is None:
             return None
         self._targets[pin.target] -= 1
@@ -75,19 +75,19 @@
             del self._targets[pin.target]
         return pin
 
-    def held_by(self, asker: str) -> list[Pin]:
-        """Returns the pins that an instance holds."""
-        return [pin for pin in self._pins.values() if pin.requester == asker]
+    def held_by(self, requester: str) -> list[Pin]:
+        """Returns the pins of a requester."""
+        return [pin for pin in self._pins.values() if pin.requester == requester]
 
     def remove_overdue(self, sampled: float, idle: Callable[[AdapterVersion], bool]) -> list[Pin]:
-        """Ends the pins whose deadline lies before a report that shows their adapter idle.
+        """Removes the pins that are past their deadline in a report that shows their adapter idle.
 
         Args:
-            sampled: Time at which the report was true, less the margin, in seconds.
-            idle: Whether the report shows an adapter version without running requests.
+            sampled: Time at which the report was sampled, minus the margin, in seconds.
+            idle: Returns whether the report shows an adapter version without running requests.
 
         Returns:
-            The pins ended.
+            The removed pins.
         """
         overdue = [
             pin for pin in self._pins.values() if pin.deadline < sampled and idle(pin.target)
@@ -101,7 +101,7 @@
         return list(self._pins.values())
 
     def keep_only(self, targets: Collection[AdapterVersion]) -> None:
-        """Ends all pins but those on `targets`; the engine has restarted."""
+        """Removes all pins except those on `targets`, after a restart of the engine."""
         for pin in self.all():
             if pin.target not in targets:
                 self.remove(pin.dispatch_id)
--- a/packages/wigeonarch-core/src/wigeonarch_core/policy_options.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/policy_options.py
@@ -1,4 +1,4 @@
-"""Settings of the policy: what it aims at and the bounds it keeps."""
+"""Settings of the scheduling policy: its objective and its limits."""
 
 from __future__ import annotations
 
@@ -6,37 +6,39 @@
 
 
 class PolicyOptions(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Aim and bounds of the scheduler, the placement and the turn to load.
+    """Objective and limits of the scheduler, the placement and the load permits.
 
     Attributes:
-        stall_weight: Worth of one second that one request waits for a load; the first half of the
+        stall_weight: Value of one second that one request waits for a load; first term of the
             objective.
-        batch_weight: Worth of one batch place kept busy for one second; the second half. Requests
-            that generate long answers so outweigh short ones.
-        queue_limit: Asks that may wait for one engine.
-        caller_share: Greatest share of the queue that one caller may hold once it is half full.
-        adapter_share: Greatest share of the queue that one adapter version may hold then.
+        batch_weight: Value of one batch place kept busy for one second; second term of the
+            objective. It makes requests with long responses outweigh short ones.
+        queue_limit: Grant requests that may wait for one engine.
+        caller_share: Greatest share of the queue that one caller may use once the queue is half
+            full.
+        adapter_share: Greatest share of the queue that one adapter version may use then.
         rate_half_life: Seconds after which a past use counts half.
-        rate_entries: Adapter versions whose rate is remembered per engine.
+        rate_entries: Adapter versions whose rate of use is remembered per engine.
         keep_horizon: Seconds for which a loaded copy is expected to be of use.
-        age_weight: How much a waiting request's claim to a load grows each second, as a part of its
-            first claim; 0 starves single requests, 1 comes close to first come, first served.
-        thrash_guard: Seconds for which a copy just loaded is not evicted.
+        age_weight: How much a waiting request's claim to a load grows each second, as a share of
+            its initial claim; 0 starves single requests, 1 comes close to first come, first served.
+        thrash_guard: Seconds for which a newly loaded copy is not evicted.
         load_rate: Loads per second that the weight store allows the deployment.
         load_parallel: Loads at a time that run at full speed.
         load_seconds: Seconds of one load at full speed.
-        load_attempts: Failed loads after which the waiting asks are refused.
+        load_attempts: Failed loads after which the waiting grant requests are refused.
         load_backoff: Seconds before a failed load is tried again; doubles each time.
-        load_backoff_limit: Longest such wait in seconds.
-        turn_lease: Seconds after which a turn to load that was not ended counts as ended.
-        zone_guarantee: Part of a zone's share of the load rate that no other zone's bids can take.
+        load_backoff_limit: Longest such wait, in seconds.
+        turn_lease: Seconds after which a load permit that was not returned counts as returned.
+        zone_guarantee: Part of a zone's share of the load rate that bids of other zones cannot
+            take.
         overcommit: Grants beyond the batch places, so that the batch refills without a delay.
         pin_margin: Seconds after the hard deadline at which a pin may be dropped.
-        homes: Engines among which a cold adapter goes to the one with the fewest loads to do.
-        coming_listed: Adapter versions waited for that a summary lists, at most.
+        homes: Home engines of a cold adapter; the one with the fewest loads to do is chosen.
+        coming_listed: Greatest number of requested adapter versions that a summary lists.
         overload_wait: Seconds of expected wait from which placement prefers another engine.
-        retry_least: Shortest `retry_after` in seconds.
-        retry_most: Longest `retry_after` in seconds.
+        retry_least: Shortest `retry_after`, in seconds.
+        retry_most: Longest `retry_after`, in seconds.
         idle_interval: Seconds between decisions when nothing happens.
     """
 
