--- a/packages/wigeonarch-core/src/wigeonarch_core/queueing.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/queueing.py
@@ -1,9 +1,9 @@
-"""The queue of one engine: fair between callers, by priority, bounded by deadlines.
+"""Queue of one engine: fair between callers, ordered by priority, limited by deadlines.
 
-Asks wait in one heap per adapter version, so that those whose adapter is loaded can be taken
-without a look at the others. Callers share by start-time fair queueing: an ask is tagged with its
-caller's virtual time, which advances by the tokens asked for, so a caller with many asks falls
-behind one with few. An ask close to its deadline goes before its caller's turn.
+Grant requests wait in one heap per adapter version, so those whose adapter is loaded can be taken
+without looking at the others. Start-time fair queueing shares the engine among callers: each
+request gets its caller's virtual start time, which advances by the tokens of the caller's requests.
+So a caller with many requests falls behind one with few.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """An ask in the queue.
+    """A grant request in the queue.
 
     Attributes:
-        ask: The ask.
-        since: Time at which it came, in seconds.
+        request: The grant request.
+        since: Time at which it arrived, in seconds.
         deadline: Time by which it must be answered, in seconds.
-        tag: Its caller's virtual time when it came.
-        cold: Whether its adapter version was not loaded when it came.
-        gone: Whether it has left the queue.
+        virtual_start: Its caller's virtual time when it arrived.
+        lacked_adapter: Whether its adapter version was not loaded when it arrived.
+        removed: Whether it has left the queue.
     """
 
     request: GrantRequest
@@ -46,7 +46,7 @@
 
 
 class FairQueue:
-    """Asks that wait for one engine."""
+    """Grant requests that wait for one engine."""
 
     __slots__ = (
         "_by_id",
@@ -79,28 +79,28 @@
         return iter(list(self._by_id.values()))
 
     def count_by_caller(self, caller: str) -> int:
-        """Returns how many asks of a caller wait."""
+        """Returns how many requests of a caller wait."""
         return self._callers[caller]
 
     def count_by_target(self, target: AdapterVersion) -> int:
-        """Returns how many asks for an adapter version wait."""
+        """Returns how many requests for an adapter version wait."""
         return self._targets[target]
 
     def targets(self) -> list[AdapterVersion]:
-        """Returns the adapter versions that asks wait for."""
+        """Returns the adapter versions that requests wait for."""
         return list(self._targets)
 
     def waiting_for(self, target: AdapterVersion) -> list[Waiting]:
-        """Returns the asks that wait for an adapter version, in no special order."""
+        """Returns the requests that wait for an adapter version, in no particular order."""
         return [waiting for _, waiting in self._by_target.get(target, ()) if not waiting.removed]
 
-    def enqueue(self, request: GrantRequest, now: float, cold: bool) -> Waiting:
-        """Adds an ask."""
-        tag = max(self._virtual_time, self._virtual_finish.get(request.caller, 0.0))
-        self._virtual_finish[request.caller] = tag + max(1, request.tokens)
-        waiting = Waiting(request, now, now + request.remaining, tag, cold)
+    def enqueue(self, request: GrantRequest, now: float, lacks_adapter: bool) -> Waiting:
+        """Adds a request."""
+        start = max(self._virtual_time, self._virtual_finish.get(request.caller, 0.0))
+        self._virtual_finish[request.caller] = start + max(1, request.tokens)
+        waiting = Waiting(request, now, now + request.remaining, start, lacks_adapter)
         self._sequence += 1
-        rank = (-request.priority, tag, self._sequence)
+        rank = (-request.priority, start, self._sequence)
         self._by_id[request.dispatch_id] = waiting
         heapq.heappush(self._by_target.setdefault(request.target, []), (rank, waiting))
         heapq.heappush(self._expiries, (waiting.deadline, self._sequence, waiting))
@@ -109,7 +109,7 @@
         return waiting
 
     def remove(self, dispatch_id: str) -> Waiting | None:
-        """Removes an ask; returns None if it does not wait."""
+        """Removes a request; returns None if it is not in the queue."""
         waiting = self._by_id.pop(dispatch_id, None)
         if waiting is None:
             return None
@@ -123,26 +123,26 @@
         return waiting
 
     def peek(self, targets: Iterable[AdapterVersion]) -> Waiting | None:
-        """Returns the ask to serve next among those for the given adapter versions."""
+        """Returns the request to serve next among those for the given adapter versions."""
         heads = [entry for target in targets if (entry := self._head(target)) is not None]
         return min(heads, key=lambda entry: entry[0])[1] if heads else None
 
     def remove_granted(self, waiting: Waiting) -> None:
-        """Removes an ask that is granted, and advances the virtual time."""
+        """Removes a request that is granted, and advances the virtual time."""
         self._virtual_time = max(self._virtual_time, waiting.virtual_start)
         self.remove(waiting.request.dispatch_id)
 
     def pop_expired(self, now: float) -> list[Waiting]:
-        """Removes and returns the asks whose deadline has passed."""
-        late: list[Waiting] = []
+        """Removes and returns the requests whose deadline has passed."""
+        expired: list[Waiting] = []
         while (due := self.earliest_deadline()) is not None and due <= now:
             waiting = heapq.heappop(self._expiries)[2]
             self.remove(waiting.request.dispatch_id)
-            late.append(waiting)
-        return late
+            expired.append(waiting)
+        return expired
 
     def earliest_deadline(self) -> float | None:
-        """Returns the first deadline of a waiting ask, in seconds."""
+        """Returns the earliest deadline of a waiting request, in seconds."""
         while self._expiries and self._expiries[0][2].removed:
             heapq.heappop(self._expiries)
         return self._expiries[0][0] if self._expiries else None
--- a/packages/wigeonarch-core/src/wigeonarch_core/rates.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/rates.py
@@ -1,10 +1,10 @@
-"""Rates of use by exponentially decayed counts, in bounded memory.
+"""Estimated rates of use from exponentially decayed counts, in bounded memory.
 
-A count halves every half-life, so its value times `ln 2 / half_life` estimates the recent rate.
-A key that has been idle for `t` seconds is not given more than `1 / t`: one that was used twice a
-second and then not for a minute is no longer popular, whatever its count still says.
-Decay is applied when an entry is read, so idle entries cost nothing; when there are too many, the
-least of them are dropped.
+A count halves every half-life, so its value times `ln 2 / half_life` estimates the recent rate. The
+rate of a key that has been idle for `t` seconds is capped at `1 / t`: a key that was used twice a
+second, but not in the last minute, is no longer popular, whatever its count is. Decay is applied
+when an entry is read, so idle entries cost nothing. When there are too many entries, those with the
+lowest counts are dropped.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-KEPT_SHARE: Final = 0.75
+KEPT_SHARE: Final = 0.75  # Share of the entries that stays when there are too many.
 
 
 @dataclass(slots=True)
--- a/packages/wigeonarch-core/src/wigeonarch_core/records.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/records.py
@@ -1,4 +1,4 @@
-"""Documents that the project keeps in the platform's object API, by kind."""
+"""Documents that the project stores in the platform's object API, and their kinds."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 CHANGES: Final = "changes"
 SNAPSHOTS: Final = "snapshots"
 KEYS: Final = "idempotency"
-# Owner of an engine whose last owner gave it up and acts no more.
+# Owner name in the ownership of an engine whose last owner gave it up and no longer acts on it.
 VACANT: Final = ""
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """Lease of one instance, kept under its name.
+    """Lease of one instance, stored under the instance's name.
 
     Attributes:
-        instance: Its name.
+        instance: Name of the instance.
         zone: Its availability zone.
-        boot: Nonce made at its start; another one means a new process.
+        boot: Nonce made at its start; a different one means a new process.
         peer: Address for messages between instances.
-        rpc: Address of its RPC door.
-        term: Seconds that a renewal holds.
-        applied: Last configuration change in force there.
+        rpc: Address of its RPC server.
+        term: Seconds for which a renewal is valid.
+        applied: Number of the last configuration change that it has applied.
         draining: Whether it is shutting down.
-        settled: Whether it has reached the platform for so long that its zone knows; see
-            `acceptance`.
+        settled: Whether it has reached the platform for so long that all instances of its zone
+            know; see `acceptance`.
     """
 
     instance: str
@@ -43,13 +43,14 @@
 
 
 class OwnerRecord(msgspec.Struct, frozen=True):
-    """Ownership of one engine, kept under its name; the object's version is the fencing number.
+    """Ownership of one engine, stored under its name; the object's version is the fencing token.
 
     Attributes:
         engine: Name of the engine.
-        owner: Name of the owning instance; `VACANT` when the last one gave it up.
-        boot: Nonce made at its start.
-        handed: Fencing number of the ownership that was handed over to it; 0 when it claimed.
+        owner: Name of the owning instance; `VACANT` if the last one gave it up.
+        boot: Nonce made at the owner's start.
+        handed: Fencing token of the ownership that was handed over to it; 0 if it claimed the
+            engine.
     """
 
     engine: str
@@ -59,22 +60,23 @@
 
 
 class KeyRecord(msgspec.Struct, frozen=True):
-    """What is known of an idempotency key, kept under the key's digest.
+    """State of an idempotency key, stored under the key's digest.
 
     Attributes:
-        request: Id of the request that holds the key.
-        nonce: Made by the instance that holds it; tells its own write from another one's.
+        request: Id of the request that uses the key.
+        nonce: Made by the instance that handles the request; tells its own write from another
+            one's.
         instance: Name of that instance.
         state: See `idempotency.KeyState`.
-        expires: Unix time, in seconds, after which it may be deleted.
-        digest: Of what the request asks for; another request must not use the key.
+        expires: Unix time, in seconds, after which the record may be deleted.
+        digest: Digest of what the request asks for; a different request must not use the key.
         outcome: Kind of the outcome, once it is known.
-        body: The answer, once it is known and if it fits.
-        body_kept: Whether it fitted.
+        body: The answer, once it is known and if it is small enough to be stored.
+        body_kept: Whether the answer was small enough.
         reason: Why the request was not run or failed.
         status: HTTP status of a plain service's failure.
         tokens: Number of generated tokens.
-        finish: Why the engine stopped.
+        finish: Why the engine stopped generating.
         version: Adapter version that answered.
     """
 
@@ -95,5 +97,5 @@
 
 
 def change_name(number: int) -> str:
-    """Returns the object name of a change; names sort like numbers."""
+    """Returns the object name of a change; the names sort in the order of the numbers."""
     return f"{number:012d}"
--- a/packages/wigeonarch-core/src/wigeonarch_core/refs.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/refs.py
@@ -1,4 +1,4 @@
-"""Names of the things that requests and orders are about."""
+"""References to adapter versions, and the rules for names in requests and orders."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 VERSION_SEPARATOR: Final = "@"
 NAME_CHARS: Final = 128
 
-# An operation becomes a part of a URL's path, so nothing may need quoting, and no part may be `..`.
+# An operation becomes a part of a URL's path, so no character may need quoting, and it may not be
+# `.` or `..`.
 _OPERATION: Final = re.compile(r"(?!\.{1,2}\Z)[A-Za-z0-9._~-]{1,128}\Z")
 
 
 class AdapterVersion(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """One version of one adapter of one service; what a slot holds and what a request is served by.
+    """One version of an adapter of a service; held by an adapter slot and named by requests.
 
     Attributes:
         service: Name of the model service.
@@ -34,7 +35,7 @@
 
 
 class ModelName(msgspec.Struct, frozen=True):
-    """What a caller wrote as `model`: the version is empty when the routing rule is to choose."""
+    """The `model` of a caller's request; without a version, the routing rule chooses it."""
 
     service: str
     adapter: str
@@ -53,7 +54,7 @@
 
 
 def is_name(text: str) -> bool:
-    """Tells whether a text may name a service, an adapter or a version.
+    """Tells whether a text is a valid name of a service, an adapter or a version.
 
     Names are 1 to 128 printable characters without white space, `/` and `@`.
     """
@@ -63,5 +64,5 @@
 
 
 def is_operation(text: str) -> bool:
-    """Tells whether a text may name an operation of a plain service."""
+    """Tells whether a text is a valid name of an operation of a plain service."""
     return _OPERATION.match(text) is not None
--- a/packages/wigeonarch-core/src/wigeonarch_core/rendezvous.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/rendezvous.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: which member a key belongs to, without a table to spread.
+"""Rendezvous hashing: assigns keys to members without a shared table.
 
-Every instance that sees the same members computes the same order, and a member that comes or goes
-moves only the keys that it wins or held. Used for the home engines of an adapter, the wanted owner
-of an engine and the holder of the turn to load.
+Every instance that sees the same members computes the same order for a key. A member that joins or
+leaves moves only the keys that it ranks first for. Used for the home engines of an adapter, the
+preferred owner of an engine and the load permit coordinator.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 def score(key: str, member: str) -> int:
-    """Returns the weight of a member for a key; the member with the greatest one is first."""
+    """Returns the score of a member for a key; the member with the highest score is preferred."""
     return xxhash.xxh3_64_intdigest(f"{key}{KEY_SEPARATOR}{member}".encode())
 
 
 def ranked(key: str, members: Sequence[str]) -> list[str]:
-    """Returns the members in the order of preference for a key."""
+    """Returns the members in their order of preference for a key."""
     return sorted(members, key=lambda member: (-score(key, member), member))
--- a/packages/wigeonarch-core/src/wigeonarch_core/reorder_buffer.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/reorder_buffer.py
@@ -1,43 +1,44 @@
-"""Puts the numbered pieces of an answer in order.
+"""Puts the numbered chunks of an answer back in order.
 
-A piece that comes ahead of its turn waits for the ones before it; a doubled one is dropped. How far
-ahead a piece may be is bounded: beyond that, the missing ones count as lost. Safe because a piece
-is only ever given out after all of those before it, once.
+A chunk that arrives early waits for the missing ones before it; a repeated chunk is dropped. How
+far ahead a chunk may be is bounded: if one arrives beyond `MAX_AHEAD`, the missing ones count as
+lost. Each chunk is returned exactly once, after all chunks before it.
 
-Example: 1, 0, 0, 2 comes out as nothing, then 0 and 1, then nothing, then 2.
+Example: chunks that arrive as 1, 0, 0, 2 are returned as nothing, then 0 and 1, then nothing, then
+chunk 2.
 """
 
 from __future__ import annotations
 
 from typing import Final, Generic, TypeVar
 
-Piece = TypeVar("Piece")
+Chunk = TypeVar("Chunk")
 
-MAX_AHEAD: Final = 32
+MAX_AHEAD: Final = 32  # Chunk numbers, counted from the next one to return.
 
 
-class ReorderBuffer(Generic[Piece]):
-    """Pieces that came ahead of their turn, and the number of the next one due.
+class ReorderBuffer(Generic[Chunk]):
+    """Buffers early chunks until their predecessors have arrived.
 
     Attributes:
-        due: Number of the next piece to give out.
+        next_number: Number of the next chunk to return.
     """
 
-    __slots__ = ("_ahead", "next_number")
+    __slots__ = ("_early", "next_number")
 
-    def __init__(self, due: int) -> None:
-        self.next_number = due
-        self._ahead: dict[int, Piece] = {}
+    def __init__(self, next_number: int) -> None:
+        self.next_number = next_number
+        self._early: dict[int, Chunk] = {}
 
-    def add(self, number: int, piece: Piece) -> list[Piece] | None:
-        """Takes a piece; returns those that are due now, or None when too many are missing."""
+    def add(self, number: int, chunk: Chunk) -> list[Chunk] | None:
+        """Adds a chunk; returns the chunks now in order, or None if too many are missing."""
         if number < self.next_number:
             return []
         if number >= self.next_number + MAX_AHEAD:
             return None
-        self._ahead[number] = piece
-        ready: list[Piece] = []
-        while self.next_number in self._ahead:
-            ready.append(self._ahead.pop(self.next_number))
+        self._early[number] = chunk
+        ready: list[Chunk] = []
+        while self.next_number in self._early:
+            ready.append(self._early.pop(self.next_number))
             self.next_number += 1
         return ready
--- a/packages/wigeonarch-core/src/wigeonarch_core/replica.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/replica.py
@@ -1,11 +1,13 @@
-"""An instance's copy of the configuration: takes elements of the log from wherever they come.
+"""An instance's copy of the configuration, kept up to date from the change log.
 
-Elements arrive by watch, by listing, by peers' notices, doubled and out of order. The copy applies
-them in order, keeps those that are early, ignores those that it has, and so never goes back.
+Changes arrive from a watch, from listings and from peers' notices, repeated and out of order. The
+replica applies them in order, buffers those that arrive early and ignores those that it has already
+applied, so it never goes back.
 
-The platform's store can go back, when it is restored from an old backup. Then the element with the
-number last applied here is gone, or is another one. The copy stays as it is and applies nothing
-more, since what would follow belongs to another history; and no change may be appended through it.
+The platform's store can go back when it is restored from an old backup. Then the change with the
+number last applied here is gone or is a different one. The replica stays as it is and applies
+nothing more, because the changes that follow belong to another history. No change may be appended
+through it either.
 """
 
 from __future__ import annotations
@@ -18,26 +20,27 @@
 from wigeonarch_core.catalogue import Catalogue
 from wigeonarch_core.changelog import Change, Result, Snapshot
 
-# Early elements that are kept; a reading of the log brings the others again.
+# Bound on the early changes that are buffered; those beyond it come again with the next read of the
+# log.
 MAX_EARLY_CHANGES: Final = 1000
 
 
 class LogComparison(enum.Enum):
-    """How the log in the platform compares with the copy."""
+    """Result of comparing the platform's change log with the replica."""
 
-    SAME = "same"  # It holds the last change applied here.
-    TRIMMED = "trimmed"  # It begins later: a snapshot is to be read.
-    ROLLED_BACK = "went_back"  # It ends earlier, or holds another change in that place.
+    SAME = "same"  # The log contains the last change applied here.
+    TRIMMED = "trimmed"  # The log begins after it; a snapshot must be read.
+    ROLLED_BACK = "went_back"  # The log ends before it, or has a different change at its number.
 
 
 class LogPosition(msgspec.Struct, frozen=True):
-    """How far a copy was when a reading of the log began.
+    """How far a replica was when a read of the log began.
 
-    A watch may bring more while the log is being read; what was read is not to be compared with
-    that, or a log that only grew would look as if it had gone back.
+    A watch may bring more changes while the log is being read. The read must not be compared with
+    these, or a log that only grew would look as if it had gone back.
 
     Attributes:
-        applied: Number of the last change in force; 0 before the first.
+        applied: Number of the last applied change; 0 before the first.
         last: Operation id of that change.
     """
 
@@ -46,19 +49,20 @@
 
 
 def position_of(catalogue: Catalogue) -> LogPosition:
-    """Returns how far a copy is now."""
+    """Returns how far a catalogue is now."""
     return LogPosition(catalogue.applied, catalogue.last)
 
 
 def compare_log(
     position: LogPosition, first: tuple[int, Change] | None, snapshot: int
 ) -> LogComparison:
-    """Compares the log with the copy.
+    """Compares the log with the replica.
 
     Args:
-        mark: How far the copy was when the reading began.
-        first: First element of the log with a number of at least `mark.applied`.
-        snapshot: Number of the newest snapshot; 0 without one.
+        position: How far the replica was when the read began.
+        first: First change of the log with a number of at least `position.applied`; None if there
+            is none.
+        snapshot: Number of the newest snapshot; 0 if there is none.
     """
     applied = position.applied
     if first is not None and first[0] == applied:
@@ -71,18 +75,19 @@
 
 
 class Replica:
-    """The copy.
+    """The local copy of the configuration.
 
     Attributes:
-        catalogue: The state in force.
-        informed: Whether a configuration has been read from the platform or a zone peer.
-        caught_up: Monotonic time at which the last whole reading of the log began; None before.
-        tried: The same of the last try that has ended, well or not; None before.
-        went_back: Whether the log was found to have gone back.
+        catalogue: The applied state.
+        has_configuration: Whether a configuration has been read from the platform or a zone peer.
+        caught_up_at: Monotonic time at which the last complete read of the log began; None before.
+        last_attempt: Monotonic time at which the last finished attempt to read it began, successful
+            or not; None before.
+        rolled_back: Whether the log was found to have gone back.
     """
 
     __slots__ = (
-        "_waiting",
+        "_early_changes",
         "catalogue",
         "caught_up_at",
         "has_configuration",
@@ -96,45 +101,52 @@
         self.caught_up_at: float | None = None
         self.last_attempt: float | None = None
         self.rolled_back = False
-        self._waiting: dict[int, Change] = {}
+        self._early_changes: dict[int, Change] = {}
 
     @property
     def has_gap(self) -> bool:
-        """Whether elements are kept that cannot be applied yet."""
-        return bool(self._waiting)
+        """Whether there are early changes that can't be applied yet."""
+        return bool(self._early_changes)
 
     def add(self, number: int, change: Change) -> list[Result]:
-        """Takes an element of the log; returns the verdicts on all that could be applied."""
+        """Adds a change of the log; returns the results of all changes that could be applied."""
         if self.rolled_back or number <= self.catalogue.applied:
             return []
-        if len(self._waiting) < MAX_EARLY_CHANGES or number == self.catalogue.applied + 1:
-            self._waiting[number] = change
-        return self._apply_waiting()
+        if len(self._early_changes) < MAX_EARLY_CHANGES or number == self.catalogue.applied + 1:
+            self._early_changes[number] = change
+        return self._apply_early_changes()
 
     def restore(self, snapshot: Snapshot) -> bool:
-        """Takes over a newer snapshot."""
+        """Replaces the state by a snapshot; returns False if it is not newer."""
         if self.rolled_back or not self.catalogue.restore(snapshot):
             return False
         applied = self.catalogue.applied
-        self._waiting = {n: change for n, change in self._waiting.items() if n > applied}
-        self._apply_waiting()
+        self._early_changes = {
+            n: change for n, change in self._early_changes.items() if n > applied
+        }
+        self._apply_early_changes()
         return True
 
-    def record_comparison(self, tail: LogComparison) -> bool:
-        """Notes how the log compares; tells whether that is news for the operator."""
-        was = self.rolled_back
-        self.rolled_back = tail is LogComparison.ROLLED_BACK
-        return was != self.rolled_back
+    def record_comparison(self, comparison: LogComparison) -> bool:
+        """Records how the log compares; returns whether `rolled_back` has changed."""
+        before = self.rolled_back
+        self.rolled_back = comparison is LogComparison.ROLLED_BACK
+        return before != self.rolled_back
 
     def record_read(self, began: float, whole: bool) -> None:
-        """Notes that a try to read the log to its end, begun at `began`, has ended."""
+        """Records the end of an attempt to read the log that began at `began`.
+
+        Args:
+            began: Monotonic time, in seconds.
+            whole: Whether the log was read to its end.
+        """
         self.last_attempt = began
         if whole:
             self.caught_up_at = began
             self.has_configuration = True
 
-    def _apply_waiting(self) -> list[Result]:
+    def _apply_early_changes(self) -> list[Result]:
         results = []
-        while (number := self.catalogue.applied + 1) in self._waiting:
-            results.append(self.catalogue.apply(number, self._waiting.pop(number)))
+        while (number := self.catalogue.applied + 1) in self._early_changes:
+            results.append(self.catalogue.apply(number, self._early_changes.pop(number)))
         return results
--- a/packages/wigeonarch-core/src/wigeonarch_core/retry.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/retry.py
@@ -1,10 +1,11 @@
-"""Bounds on retries: a budget per service and pauses with full jitter.
+"""Limits on retries: a budget per service, and pauses with full jitter.
 
-Retries multiply load exactly when endpoints are weak. The budget lets a service spend only a share
-of its fresh requests on retries, plus a small reserve so that a quiet service can retry at all.
+Retries multiply the load exactly when endpoints are weak. The budget lets a service spend only a
+share of its fresh requests on retries, plus a small reserve so that a service with few requests can
+retry at all.
 
-Example: with a share of 0.2 and a reserve of 10, a hundred fresh requests earn twenty retries; the
-balance never exceeds the reserve, so an hour without failures does not save up a storm.
+Example: with a share of 0.2, a hundred fresh requests earn twenty retries. The balance never
+exceeds the reserve, for example 10, so an hour without failures does not save up a retry storm.
 """
 
 from __future__ import annotations
@@ -12,29 +13,34 @@
 from random import Random
 from typing import Final
 
-RESERVE: Final = 10.0
-MIN_PAUSE: Final = 0.02
-MAX_PAUSE: Final = 1.0
+RESERVE: Final = 10.0  # Retries.
+MIN_PAUSE: Final = 0.02  # Seconds.
+MAX_PAUSE: Final = 1.0  # Seconds.
 
 
 class RetryBudget:
-    """Balance of retries, per service."""
+    """Balance of allowed retries, per service."""
 
     __slots__ = ("_balances", "_reserve", "_share")
 
     def __init__(self, share: float, reserve: float = RESERVE) -> None:
-        """Makes a budget that earns `share` of a retry for each fresh request."""
+        """Starts with the full reserve for each service.
+
+        Args:
+            share: Part of a retry that each fresh request earns.
+            reserve: Greatest balance of a service, in retries.
+        """
         self._share = share
         self._reserve = reserve
         self._balances: dict[str, float] = {}
 
     def record_request(self, service: str) -> None:
-        """Notes a fresh request."""
+        """Notes a fresh request, which earns a part of a retry."""
         balance = self._balances.get(service, self._reserve)
         self._balances[service] = min(self._reserve, balance + self._share)
 
     def try_spend(self, service: str) -> bool:
-        """Takes one retry from the balance; False when there is none left."""
+        """Takes one retry from the balance; returns False if none is left."""
         balance = self._balances.get(service, self._reserve)
         if balance < 1.0:
             return False
@@ -46,9 +52,9 @@
     """Returns a pause in seconds, uniform between 0 and a bound that doubles with each attempt.
 
     Args:
-        attempt: 0 for the first pause.
-        least: Bound of the first pause, in seconds.
-        most: Bound that is never exceeded, in seconds.
+        attempt: Number of the pause; 0 for the first.
+        first_bound: Bound of the first pause, in seconds.
+        max_bound: Greatest bound, in seconds.
         rng: Source of random numbers.
     """
     return rng.uniform(0.0, min(max_bound, first_bound * 2.0**attempt))
--- a/packages/wigeonarch-core/src/wigeonarch_core/routes.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/routes.py
@@ -1,12 +1,12 @@
-"""Routes by host and path prefix to services, as an operator configures them.
+"""Routes from host and path prefix to services, as an operator configures them.
 
-A configuration arrives whole and replaces the one before it, so a request sees the routes of one
-version only. The route of a request is the one of its host with the longest prefix that begins its
-path; prefixes end with a slash, so they can be looked up from the longest cut of the path down
-without a search over all routes.
+A configuration is replaced as a whole, so a request sees the routes of a single version. Of the
+routes for a request's host, the one with the longest prefix of the path applies. Prefixes end with
+a slash, so a lookup only tries the path cut at each slash, the longest first, instead of searching
+all routes.
 
-Example: with the prefixes `/a/` and `/a/b/`, the path `/a/b/c` has the route of `/a/b/` and `/a/x`
-the one of `/a/`; `/ab` has none.
+Example: with the prefixes `/a/` and `/a/b/`, the path `/a/b/c` gets the route of `/a/b/` and `/a/x`
+that of `/a/`; `/ab` has no route.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated."""
+    """Whether requests of a route may be sent again, and whether their responses are streams."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -30,28 +30,28 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service and its weight in the split of a route."""
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: int
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of a host and path prefix go, and on which terms.
+    """Where requests with a host and path prefix go, and how they are handled.
 
     Attributes:
         name: Name of the route.
         host: Host that the request names, in lower case and without a port.
         prefix: Beginning of the path; begins and ends with a slash.
-        kind: What may be repeated.
+        kind: Whether requests may be sent again, and whether responses are streams.
         split: Services with their weights; one entry for a route that is not split.
         attempts: Greatest number of endpoints that one request may be sent to.
-        timeout: Longest time until the final answer, in seconds.
-        objective: Time to the answer, or to the first event, that counts as prompt, in seconds.
-        priority: Rank of the request; 0 is the most urgent.
-        resumable: Whether a stream may go on at another endpoint.
-        largest_pause: Longest pause between events that counts as prompt, in seconds; 0 if none.
-        public: Whether requests need no key.
+        timeout: Longest time until the end of the response, in seconds.
+        objective: Latency objective of the response, or of the first event of a stream, in seconds.
+        priority: Priority of the request; 0 is the most urgent.
+        resumable: Whether another endpoint may resume a stream.
+        largest_pause: Longest allowed pause between events of a stream, in seconds; 0 if unlimited.
+        public: Whether requests need no API key.
     """
 
     name: str
@@ -77,7 +77,7 @@
     """A base model that a service's engines can hold.
 
     Attributes:
-        name: Its name.
+        name: Name of the model.
         weights_mb: Size of its weights, in MB.
         load_time: Time of a load from the weight store, in seconds.
         adapter_mb: Size of one adapter, in MB.
@@ -90,13 +90,13 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True):
-    """What the engines of a service can do.
+    """Capacity of each engine of a service.
 
     Attributes:
-        batch: Requests that run at once.
+        batch: Requests that run at the same time.
         kv_tokens: Tokens that fit into the KV cache.
         weights_mb: Memory for weights and adapters, in MB.
-        places: Adapters that fit at once; loads under way count.
+        places: Adapters that fit at the same time, including those being loaded.
         loads_per_second: Loads of base models that the weight store allows over all engines.
         models: Models that the engines can hold.
     """
@@ -110,7 +110,7 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True):
-    """A service; `engine` is None for one that serves no models."""
+    """A service; `engine` is None for a plain service."""
 
     name: str
     max_connections: int
@@ -118,10 +118,10 @@
 
 
 class ClientLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take or stay idle.
+    """Limits on requests and connections of callers.
 
     Attributes:
-        header_bytes: Largest head of a request, in bytes.
+        header_bytes: Largest request head, in bytes.
         body_bytes: Largest body, in bytes.
         idle_time: Seconds for which an idle connection is kept.
     """
@@ -132,13 +132,13 @@
 
 
 class RoutingTable:
-    """One version of the routes and services; never changed after it is made.
+    """One version of the routes and services; immutable.
 
     Attributes:
         version: Version of the configuration.
         services: Services by name.
-        limits: What callers may send.
-        teams: The teams; None where callers need no keys.
+        limits: Limits on requests and connections of callers.
+        teams: The teams; None if callers need no keys.
     """
 
     __slots__ = ("_hosts", "limits", "services", "teams", "version")
@@ -160,10 +160,10 @@
             self._hosts.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route of a request, or None.
+        """Returns the route of a request, or None if it has none.
 
         Args:
-            host: Host that the request names; a port and the case are ignored.
+            host: Host that the request names; its port and case are ignored.
             path: Path without its query.
         """
         prefixes = self._hosts.get(bare_host(host))
@@ -188,16 +188,16 @@
 
 
 def pick_service(route: Route, draw: float) -> str:
-    """Returns the service for one request of a route.
+    """Returns the service for one request of a route, chosen by the weights of the split.
 
     Args:
         route: The route.
         draw: Uniform in [0, 1), the same for all tries of one request.
     """
     total = sum(share.weight for share in route.split)
-    mark = draw * total
+    point = draw * total
     for share in route.split:
-        mark -= share.weight
-        if mark < 0:
+        point -= share.weight
+        if point < 0:
             return share.service
     return route.split[-1].service
--- a/packages/wigeonarch-core/src/wigeonarch_core/routing.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/routing.py
@@ -1,4 +1,4 @@
-"""Which adapter version answers a request that names a model."""
+"""Resolution of the model name in a request to the adapter version that serves it."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class Unresolved(msgspec.Struct, frozen=True):
-    """A model name that nothing in the catalogue answers to."""
+    """Result for a model name that does not match the catalogue."""
 
     reason: Reason
 
 
 def resolve(catalogue: Catalogue, model: ModelName, draw: float) -> AdapterVersion | Unresolved:
-    """Resolves a model name to the adapter version that is to answer.
+    """Resolves a model name to the adapter version that serves it.
 
     Args:
         catalogue: The catalogue in force.
-        model: What the caller named.
-        draw: Random number in [0, 1) that chooses among a rule's splits.
+        model: Model name from the request.
+        draw: Random number in [0, 1) that chooses among the splits of a routing rule.
     """
     if catalogue.service(model.service) is None:
         return Unresolved(Reason.NO_SUCH_SERVICE)
@@ -43,9 +43,9 @@
 
 
 def _pick_version(splits: tuple[Split, ...], draw: float) -> str:
-    mark = draw * sum(split.weight for split in splits)
+    point = draw * sum(split.weight for split in splits)
     for split in splits:
-        mark -= split.weight
-        if mark < 0:
+        point -= split.weight
+        if point < 0:
             return split.version
     return splits[-1].version
--- a/packages/wigeonarch-core/src/wigeonarch_core/scheduler.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/scheduler.py
@@ -1,10 +1,10 @@
-"""The scheduler of one engine, run by the engine's owner.
+"""Scheduler of one engine, run by the engine's owner.
 
-Asks wait in a fair queue. `decide` grants those whose adapter version is loaded while batch places
-are free, and refuses at once those that can't be served in time. `bid` names the load that would
-save most; `start_load` checks it again when the turn to load comes, since a copy may have been
-pinned meanwhile. Granting and choosing victims happen here and nowhere else, so that a copy is
-never both granted and evicted.
+Grant requests wait in a fair queue. `decide` grants those whose adapter version is loaded while
+batch places are free, and refuses those that cannot be served in time. `best_bid` names the load
+that is worth most; `start_load` checks it again when the load permit arrives, since a copy may have
+been pinned meanwhile. Only the scheduler grants requests and chooses victims, so a copy is never
+both granted and evicted.
 """
 
 from __future__ import annotations
@@ -25,17 +25,18 @@
 from wigeonarch_core.refs import AdapterVersion
 from wigeonarch_core.slots import SlotState, SlotTable
 
-HOLD_SMOOTHING: Final = 0.05
-GAP_SMOOTHING: Final = 0.2
+HOLD_SMOOTHING: Final = 0.05  # Weight of one grant's duration.
+GAP_SMOOTHING: Final = 0.2  # Weight of one gap between loads.
 
 
 class EngineScheduler:
-    """Queue, pins and slots of one engine at its owner.
+    """Queue, pins and adapter slots of one engine, kept by its owner.
 
     Attributes:
         engine: Name of the engine.
         service: Service that the engine serves; reports leave it out.
-        may_evict: Tells whether the owner's quarantine lets a copy go; set by the owner.
+        may_evict: Tells whether the owner's take-over quarantine allows the eviction of a copy; set
+            by the owner.
     """
 
     __slots__ = (
@@ -81,7 +82,7 @@
 
     @property
     def queue_length(self) -> int:
-        """Number of asks that wait."""
+        """Number of grant requests that wait."""
         return len(self._queue)
 
     @property
@@ -90,22 +91,22 @@
         return self._slots.incarnation
 
     def apply_report(self, rep: EngineReport, now: float) -> None:
-        """Takes in the engine's report, which lags by its age."""
+        """Merges a report of the engine, which lags by its age."""
         sampled = now - rep.age_ms / MS_PER_SECOND
         if self._slots.apply_report(rep, self.service, sampled):
-            # What it has loaded now was loaded after the restart, and so may be in use.
+            # Copies in this report were loaded after the restart, so they may be in use.
             self._pins.keep_only({target for target, _ in self._slots.loaded()})
             self._victims.clear()
         self._max_batch = rep.max_batch
         self._leaving = rep.state == "leaving"
-        # What the engine itself queues is of no known adapter version.
+        # Requests in the engine's own queue may use any adapter version.
         if rep.waiting == 0:
             self._pins.remove_overdue(
                 sampled - self._opts.pin_margin, self._slots.is_idle_by_report
             )
 
     def submit(self, request: GrantRequest, now: float) -> Refuse | None:
-        """Queues an ask, or refuses it at once; asking twice changes nothing."""
+        """Queues a grant request, or refuses it at once; does nothing if it is known already."""
         if request.dispatch_id in self._queue or request.dispatch_id in self._pins:
             return None
         reason = self._refusal_reason(request, now)
@@ -117,11 +118,11 @@
                 self._retry_after(request.target, now),
             )
         self._rates.add(request.target, now)
-        self._queue.enqueue(request, now, cold=not self._slots.is_ready(request.target))
+        self._queue.enqueue(request, now, lacks_adapter=not self._slots.is_ready(request.target))
         return None
 
     def release(self, dispatch_id: str, now: float) -> None:
-        """Ends a grant, or withdraws an ask that still waits."""
+        """Ends a grant, or withdraws a grant request that still waits."""
         pin = self._pins.remove(dispatch_id)
         if pin is None:
             self._queue.remove(dispatch_id)
@@ -132,8 +133,8 @@
         """Returns the grants and refusals that are due."""
         decided: list[Grant | Refuse] = list(self._refusals)
         self._refusals.clear()
-        late = self._queue.pop_expired(now)
-        decided.extend(self._refuse(waiting, Reason.DEADLINE, now) for waiting in late)
+        expired = self._queue.pop_expired(now)
+        decided.extend(self._refuse(waiting, Reason.DEADLINE, now) for waiting in expired)
         if self._leaving:
             decided.extend(self._refuse_all(Reason.ENDPOINT_LEAVING, now))
             return decided
@@ -145,7 +146,7 @@
         return decided
 
     def best_bid(self, now: float) -> Bid | None:
-        """Returns the load that would save most; None when none is wanted or possible."""
+        """Returns the bid for the load that is worth most; None if there is no such load."""
         if self._leaving:
             return None
         victim = None if self._slots.has_free() else self._choose_victim(now)
@@ -156,7 +157,7 @@
         return max(bids, key=lambda bid: (bid.value, bid.target), default=None)
 
     def start_load(self, target: AdapterVersion, now: float) -> StartLoad | None:
-        """Begins a load whose turn has come; None when it is no longer wanted or possible."""
+        """Starts a load that got its permit; returns None if it is not needed or possible now."""
         if self._leaving or not self._queue.count_by_target(target):
             return None
         if not self._may_load(target, now):
@@ -170,7 +171,7 @@
         return StartLoad(target, victim)
 
     def finish_load(self, target: AdapterVersion, ok: bool, now: float) -> None:
-        """Notes that the orders of a load, the eviction included, have ended for certain."""
+        """Notes that the orders of a load, its eviction included, have certainly ended."""
         self._measure_load_gap(target, now)
         victim = self._victims.pop(target, None)
         if victim is not None:
@@ -188,20 +189,20 @@
     def adopt_pin(
         self, dispatch_id: str, requester: str, target: AdapterVersion, remaining: float, now: float
     ) -> None:
-        """Takes in a pin that a peer declares.
+        """Adds a pin that a peer declares.
 
         Args:
-            ask: Identifies the request.
-            asker: Instance that holds the grant.
+            dispatch_id: Identifies the grant request.
+            requester: Instance that holds the grant.
             target: Adapter version in use.
             remaining: Seconds until the request's hard deadline.
-            now: The time in seconds.
+            now: Current time, in seconds.
         """
         self._queue.remove(dispatch_id)
         self._pins.add(Pin(dispatch_id, requester, target, now + remaining, now))
 
     def is_pinned(self, dispatch_id: str) -> bool:
-        """Tells whether an ask holds a pin."""
+        """Tells whether a grant request holds a pin."""
         return dispatch_id in self._pins
 
     def pin_count(self, target: AdapterVersion) -> int:
@@ -213,7 +214,7 @@
         return self._pins.all()
 
     def waiting(self) -> list[Waiting]:
-        """Returns the asks that wait, first come first."""
+        """Returns the grant requests that wait, the oldest first."""
         return sorted(self._queue, key=lambda waiting: waiting.since)
 
     def pins_of(self, requester: str) -> list[Pin]:
@@ -221,13 +222,13 @@
         return self._pins.held_by(requester)
 
     def drop_requester(self, requester: str, now: float) -> None:
-        """Withdraws the asks of a silent instance; its pins stay until overdue and idle."""
+        """Withdraws the requests of a silent instance; its pins stay until overdue and idle."""
         for waiting in self._queue:
             if waiting.request.requester == requester:
                 self._queue.remove(waiting.request.dispatch_id)
 
     def summary(self, fence: int) -> EngineSummary:
-        """Returns what peers need for choosing among engines."""
+        """Returns what peers need to choose among engines; `fence` is the owner's fencing token."""
         cold = self._targets_without_slot()
         cold.sort(key=self._queue.count_by_target, reverse=True)
         loading = self._slots.in_state(SlotState.LOADING)
@@ -245,42 +246,46 @@
         )
 
     def next_due(self, now: float) -> float:
-        """Returns the time in seconds at which `decide` should run if nothing happens before."""
+        """Returns the time, in seconds, at which `decide` should run at the latest."""
         deadline = self._queue.earliest_deadline()
         idle = now + self._opts.idle_interval
         return idle if deadline is None else min(idle, deadline)
 
     def close(self, now: float) -> list[Refuse]:
-        """Refuses all that wait; the engine has a new owner or none."""
+        """Refuses all waiting requests, as this instance no longer owns the engine."""
         return self._refuse_all(Reason.NO_OWNER, now)
 
-    def _refusal_reason(self, ask: GrantRequest, now: float) -> Reason | None:
+    def _refusal_reason(self, request: GrantRequest, now: float) -> Reason | None:
         if self._leaving:
             return Reason.ENDPOINT_LEAVING
-        if ask.remaining <= 0.0:
+        if request.remaining <= 0.0:
             return Reason.DEADLINE
-        if self._backoff.exhausted(ask.target) and not self._backoff.may_load(ask.target, now):
+        if self._backoff.exhausted(request.target) and not self._backoff.may_load(
+            request.target, now
+        ):
             return Reason.LOAD_FAILED
         limit = self._opts.queue_limit
         if len(self._queue) >= limit:
             return Reason.QUEUE_FULL
         if len(self._queue) * 2 < limit:
-            return self._refusal_if_late(ask)
-        if self._queue.count_by_caller(ask.caller) >= self._opts.caller_share * limit:
+            return self._refusal_if_late(request)
+        if self._queue.count_by_caller(request.caller) >= self._opts.caller_share * limit:
             return Reason.FAIR_SHARE
-        if self._queue.count_by_target(ask.target) >= self._opts.adapter_share * limit:
+        if self._queue.count_by_target(request.target) >= self._opts.adapter_share * limit:
             return Reason.FAIR_SHARE
-        return self._refusal_if_late(ask)
+        return self._refusal_if_late(request)
 
-    def _refusal_if_late(self, ask: GrantRequest) -> Reason | None:
-        return Reason.DEADLINE if self._expected_wait_for(ask.target) > ask.remaining else None
+    def _refusal_if_late(self, request: GrantRequest) -> Reason | None:
+        return (
+            Reason.DEADLINE if self._expected_wait_for(request.target) > request.remaining else None
+        )
 
     def _expected_wait_for(self, target: AdapterVersion) -> float:
-        """Returns the seconds that a new ask is expected to wait, its load included."""
-        first = self._slots.get(target) is None and not self._queue.count_by_target(target)
+        """Returns the expected wait of a new request, its load included, in seconds."""
+        needs_load = self._slots.get(target) is None and not self._queue.count_by_target(target)
         return (
             len(self._targets_without_slot()) * self._load_gap
-            if first
+            if needs_load
             else self._expected_wait_if_loaded()
         )
 
@@ -288,12 +293,12 @@
         return [each for each in self._queue.targets() if self._slots.get(each) is None]
 
     def _measure_load_gap(self, target: AdapterVersion, now: float) -> None:
-        """Measures the time between loads, or from the wish for a load to its end after a pause.
+        """Measures the time between two loads; after a pause, from the need for a load to its end.
 
-        Each load that ends gives a sample, so an estimate from a slow spell is soon forgotten.
+        Each load that ends gives a sample, so an estimate from a slow period is soon forgotten.
         """
-        wished = min((each.since for each in self._queue.waiting_for(target)), default=now)
-        since = self._load_ended_at if self._load_ended_at >= 0.0 else wished
+        needed_since = min((each.since for each in self._queue.waiting_for(target)), default=now)
+        since = self._load_ended_at if self._load_ended_at >= 0.0 else needed_since
         self._load_gap = _smoothed(self._load_gap, now - since, GAP_SMOOTHING)
         self._load_ended_at = now if self._targets_without_slot() else -1.0
 
@@ -301,10 +306,10 @@
         return self._max_batch + self._opts.overcommit - len(self._pins)
 
     def _expected_wait_if_loaded(self) -> float:
-        """Returns the seconds that one more ask for a loaded adapter is expected to wait."""
+        """Returns the expected wait of one more request for a loaded adapter, in seconds."""
         ready = sum(self._queue.count_by_target(each) for each, _ in self._slots.loaded())
-        behind = ready + 1 - self._free_batch_places()
-        return max(0, behind) * self._seconds_per_grant()
+        ahead = ready + 1 - self._free_batch_places()
+        return max(0, ahead) * self._seconds_per_grant()
 
     def _seconds_per_grant(self) -> float:
         return self._hold_seconds / max(1, self._max_batch)
@@ -321,13 +326,23 @@
         return min(wait, self._opts.retry_most)
 
     def _grant(self, waiting: Waiting, now: float) -> Grant:
-        ask = waiting.request
+        request = waiting.request
         self._queue.remove_granted(waiting)
         self._pins.add(
-            Pin(ask.dispatch_id, ask.requester, ask.target, waiting.deadline, now, ask.tokens)
+            Pin(
+                request.dispatch_id,
+                request.requester,
+                request.target,
+                waiting.deadline,
+                now,
+                request.tokens,
+            )
         )
         return Grant(
-            ask.dispatch_id, ask.requester, now - waiting.since, self._load_wait(waiting, now)
+            request.dispatch_id,
+            request.requester,
+            now - waiting.since,
+            self._load_wait(waiting, now),
         )
 
     def _load_wait(self, waiting: Waiting, now: float) -> float:
@@ -338,8 +353,10 @@
 
     def _refuse(self, waiting: Waiting, reason: Reason, now: float) -> Refuse:
         self._queue.remove(waiting.request.dispatch_id)
-        ask = waiting.request
-        return Refuse(ask.dispatch_id, ask.requester, reason, self._retry_after(ask.target, now))
+        request = waiting.request
+        return Refuse(
+            request.dispatch_id, request.requester, reason, self._retry_after(request.target, now)
+        )
 
     def _refuse_all(self, reason: Reason, now: float) -> list[Refuse]:
         return [self._refuse(waiting, reason, now) for waiting in self._queue]
@@ -358,9 +375,9 @@
     ) -> float:
         waiting = self._queue.waiting_for(target)
         claims = sum(self._load_claim(each, now) for each in waiting)
-        keep = self._opts.keep_horizon
-        lost = 0.0 if victim is None else self._rates.rate(victim, now) * keep
-        stalls = claims + self._rates.rate(target, now) * keep - lost
+        horizon = self._opts.keep_horizon
+        lost = 0.0 if victim is None else self._rates.rate(victim, now) * horizon
+        stalls = claims + self._rates.rate(target, now) * horizon - lost
         worth = (
             self._opts.stall_weight * stalls
             + self._opts.batch_weight * self._batch_place_seconds(waiting)
@@ -368,11 +385,11 @@
         return worth / self._opts.load_seconds
 
     def _load_claim(self, waiting: Waiting, now: float) -> float:
-        """Returns an ask's claim to a load: 1 when it comes, growing slowly as it waits."""
+        """Returns a request's claim to a load: 1 on arrival, growing slowly as it waits."""
         return 1.0 + self._opts.age_weight * (now - waiting.since)
 
     def _batch_place_seconds(self, waiting: list[Waiting]) -> float:
-        """Returns the place-seconds that free batch places would be busy with these asks."""
+        """Returns for how long these requests would use free batch places, in place-seconds."""
         tokens = sorted((each.request.tokens for each in waiting), reverse=True)
         return self._token_seconds * sum(tokens[: max(0, self._free_batch_places())])
 
--- a/packages/wigeonarch-core/src/wigeonarch_core/service_load.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/service_load.py
@@ -1,28 +1,29 @@
-"""Whether a plain service has time for one more request, and which part to refuse when it has not.
+"""Load shedding for plain services: which share of the requests an overloaded endpoint still gets.
 
-An endpoint of a plain service queues what it can't run at once. When a little more is asked for
-than it can do, its queue fills up and stays full, and then every request waits for as long as the
-whole queue takes: all are late, though most could be in time. So a part is refused at once, before
-it is sent, so great that the queue stays short enough for the others. Which ones is left to chance:
-instances see each other's requests late, and would all refuse or all send otherwise.
+An endpoint of a plain service queues the requests that it can't run at once. If it gets slightly
+more requests than it can serve, its queue fills up and stays full, and then every request waits for
+the whole queue: all are late, though most could be on time. So a part of the requests is refused
+before it is sent, large enough to keep the queue short enough for the rest. Which requests are
+refused is random: instances learn of each other's requests late, and would otherwise all refuse or
+all send.
 
-It answers a plain service that lost an endpoint, or whose callers come in bursts and repeat. What
-one request takes is learned where it did not have to wait.
+This helps a plain service that lost an endpoint, or whose callers send bursts and retry. The
+service time of a request is learned from requests that did not have to wait.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# Part of the objective that an endpoint's queue may take: the rest is for work that takes longer
-# than usual, and for requests of others that are not heard of yet.
+# Share of the latency objective that an endpoint's queue may take. The rest allows for requests
+# that take longer than usual, and for requests of other instances that are not known yet.
 QUEUE_SHARE: Final = 0.5
-ANSWER_WEIGHT: Final = 0.1  # Weight of one answer: about the last ten count.
-MIN_ANSWERS: Final = 5  # Answers before which nothing is refused.
+ANSWER_WEIGHT: Final = 0.1  # Of one response: about the last ten count.
+MIN_ANSWERS: Final = 5  # Responses before which nothing is refused.
 
 
 class ServiceTimes:
-    """How long requests of each service take where they don't wait."""
+    """Service times of each service, learned from requests that did not wait in a queue."""
 
     __slots__ = ("_answers", "_times")
 
@@ -31,13 +32,13 @@
         self._answers: dict[str, int] = {}
 
     def record_answer(self, service: str, took: float, running: int, slots: int) -> None:
-        """Notes an answer.
+        """Notes a response; it is ignored if its request had to wait.
 
         Args:
             service: The service.
-            took: Seconds from the send to the answer.
+            took: Seconds from the send to the response.
             running: Requests that the endpoint had when this one was sent, itself included.
-            slots: Requests that it runs at once.
+            slots: Requests that the endpoint can run at the same time.
         """
         if running > slots:
             return
@@ -46,7 +47,7 @@
         self._answers[service] = self._answers.get(service, 0) + 1
 
     def estimate(self, service: str) -> float | None:
-        """Returns the seconds that a request takes; None while that is not known."""
+        """Returns the seconds that a request takes without waiting; None while unknown."""
         if self._answers.get(service, 0) < MIN_ANSWERS:
             return None
         return self._times[service]
@@ -56,12 +57,12 @@
     """Returns the part of the requests that should be sent to an endpoint, from 0 to 1.
 
     Args:
-        running: Requests there, also those that wait.
-        slots: Requests that it runs at once.
-        usual: Seconds that a request takes without waiting; None if unknown.
-        objective: Time to the answer that counts as prompt, in seconds.
+        running: Requests at the endpoint, including those that wait.
+        slots: Requests that it can run at the same time.
+        service_time: Seconds that a request takes without waiting; None if unknown.
+        objective: Latency objective of the response, in seconds.
     """
     if service_time is None or service_time <= 0.0 or running < slots:
         return 1.0
-    most = max(slots, slots * QUEUE_SHARE * objective / service_time)
-    return min(1.0, most / (running + 1))
+    target = max(slots, slots * QUEUE_SHARE * objective / service_time)
+    return min(1.0, target / (running + 1))
--- a/packages/wigeonarch-core/src/wigeonarch_core/serving_right.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/serving_right.py
@@ -1,22 +1,25 @@
-"""Whether an instance may serve on the configuration that it has in force.
-
-A change is accepted once every instance that may serve has it (see `acceptance`). So an instance
-must be able to tell for itself, at each request and from its own clock alone, that nothing can have
-been accepted without it:
-
-* While its lease holds, all others count it, so nothing is accepted that it lacks. This is true of
-  changes made after the lease began; the log must have been read to its end once since then.
-* Without a lease it may have been left out. It goes on only if its whole zone is in the same place:
-  it hears other instances of its zone, and each one that it hears has no lease either or does not
-  reach the platform. Nothing is accepted behind the back of such a zone, as long as the platform's
-  list names it. An instance that hears nobody, while others are known, may be cut off alone.
-
-A process that was paused finds its lease lapsed by the clock at its first request, and then has to
-try the platform before it may say that its zone is cut off.
-
-Example: an instance is paused for a minute. A change is accepted without it. At its first request
-after the pause its lease has lapsed and it has not tried the platform since, so it refuses. It
-reads the log, renews its lease, reads the log once more, and serves on the new state.
+"""Decides whether an instance may serve requests with the configuration that it has applied.
+
+A change is accepted once every instance that may serve has applied it (see `acceptance`). So at
+each request, an instance must be able to tell, by its own clock alone, that no change can have been
+accepted without it:
+
+* While its lease is valid, all others count it, so no change is accepted that it lacks. This is
+  true of changes made after the lease period began, so the log must have been read to its end once
+  since then.
+* Without a valid lease, a change may have been accepted without it. It goes on serving only if its
+  whole zone is in the same state: it hears other instances of its zone, and each of them has no
+  valid lease either or does not reach the platform. No change is accepted without such a zone as
+  long as its instances are on the platform's list. An instance that hears no other one, although
+  others are known, may be cut off alone, so it stops.
+
+A process that was suspended finds at its first request that its lease has lapsed by the clock. It
+must then try to reach the platform before it may conclude that its zone is cut off.
+
+Example: an instance is suspended for a minute, and a change is accepted without it. At its first
+request after that, its lease has lapsed and it has not tried to reach the platform since, so it
+refuses the request. It reads the log, renews its lease, reads the log once more, and serves with
+the new state.
 """
 
 from __future__ import annotations
@@ -29,13 +32,13 @@
 class LeasePeriod:
     """The unbroken time for which the platform has held this instance's lease.
 
-    Unlike `lease.HeldLease`, which says who may give orders, this is never extended by anything but
-    a renewal that the platform confirmed, since only that is seen by all others.
+    `lease.HeldLease` decides whether the instance may give orders. Unlike that, a lease period is
+    extended only by renewals that the platform confirmed, since only those are seen by all others.
 
     Attributes:
         since: Monotonic time at which the period began.
-        lapsed_at: Monotonic time at which the last period ended, or the process began.
-        ever: Whether there has been a period.
+        lapsed_at: Monotonic time at which the period before it ended, or the process began.
+        ever_valid: Whether there has been a period.
     """
 
     __slots__ = ("_end", "_length", "ever_valid", "lapsed_at", "since")
@@ -48,7 +51,7 @@
         self.ever_valid = False
 
     def record_renewal(self, sent_at: float, now: float) -> None:
-        """Notes a renewal that was sent at `sent_at` and confirmed now."""
+        """Records a renewal that was sent at `sent_at` and confirmed now."""
         if not self.ever_valid or now >= self._end:
             self.lapsed_at = self._end
             self.since = now
@@ -56,7 +59,7 @@
         self._end = max(self._end, sent_at + self._length)
 
     def is_valid(self, now: float) -> bool:
-        """Tells whether all others count this instance."""
+        """Returns whether all other instances count this one as serving."""
         return self.ever_valid and now < self._end
 
     def last_ended_at(self, now: float) -> float:
@@ -67,45 +70,49 @@
 class PlatformReachability:
     """Whether the platform has been answering without a gap."""
 
-    __slots__ = ("_bound", "_last", "_settle", "_since")
+    __slots__ = ("_bound", "_last_answer", "_settle", "_since")
 
     def __init__(self, bound: float, settle: float) -> None:
-        """Makes the view.
+        """Starts without any answer.
 
         Args:
-            bound: Seconds without any answer after which the platform counts as out of reach.
-            settle: Seconds of reach after which all peers of the zone have been told of it.
+            bound: Seconds without any answer after which the platform counts as unreachable.
+            settle: Seconds of reachability after which all peers of the zone have been told of it.
         """
         self._bound = bound
         self._settle = settle
-        self._last: float | None = None
+        self._last_answer: float | None = None
         self._since = 0.0
 
     def record_answer(self, now: float) -> None:
-        """Notes any answer of the platform, a line of a watch included."""
+        """Records any answer of the platform, including a line of a watch."""
         if not self.is_reachable(now):
             self._since = now
-        self._last = now
+        self._last_answer = now
 
     def is_reachable(self, now: float) -> bool:
-        """Tells whether the platform is within reach."""
-        return self._last is not None and now <= self._last + self._bound
+        """Returns whether the platform has answered recently."""
+        return self._last_answer is not None and now <= self._last_answer + self._bound
 
     def is_settled(self, now: float) -> bool:
-        """Tells whether it has been for so long that no peer of the zone goes on without it."""
+        """Returns whether it has been reachable for so long that every peer of the zone knows.
+
+        By then, no peer goes on serving in the belief that the whole zone is cut off.
+        """
         return self.is_reachable(now) and now >= self._since + self._settle
 
 
 class ZonePeer(msgspec.Struct, frozen=True):
-    """What another instance of the zone said of itself.
+    """What another instance of the zone said about itself.
 
     Attributes:
         name: Its name.
-        heard: Monotonic time, by the own clock, that what it said is at least as new as: when the
-            own heartbeat was sent that it echoed. A message that was held up is worth nothing.
-        leased: Whether its lease held.
+        as_of: Monotonic time, by this instance's clock, than which the information is no older:
+            when this instance sent the heartbeat that the peer echoed. So a message that was held
+            up is worth nothing.
+        leased: Whether its lease was valid.
         reaches: Whether it reached the platform.
-        applied: Last change in force there.
+        applied: Number of the last change that it had applied.
     """
 
     name: str
@@ -116,10 +123,10 @@
 
 
 class ZoneView:
-    """What the other instances of the zone have said, those included that are not known otherwise.
+    """What the other instances of the zone said, even those known only by their heartbeats.
 
     Attributes:
-        newest: Greatest number of a change that any instance of the zone had in force.
+        newest: Highest number of a change that any instance of the zone had applied.
     """
 
     __slots__ = ("_peers", "_timeout", "newest")
@@ -130,14 +137,14 @@
         self.newest = 0
 
     def record(self, peer: ZonePeer) -> None:
-        """Notes what a peer said; older words than those known count for nothing but the number."""
+        """Records what a peer said; of older information, only the number of its change is used."""
         known = self._peers.get(peer.name)
         if known is None or peer.as_of >= known.as_of:
             self._peers[peer.name] = peer
         self.newest = max(self.newest, peer.applied)
 
     def recent_peers(self, now: float) -> tuple[ZonePeer, ...]:
-        """Returns the peers heard within the timeout."""
+        """Returns the peers whose information is no older than the timeout."""
         return tuple(p for p in self._peers.values() if now - p.as_of <= self._timeout)
 
 
@@ -145,17 +152,18 @@
     """All that the right to serve depends on.
 
     Attributes:
-        informed: Whether a configuration has been read, from the platform or from a zone peer.
-        leased: Whether the lease holds.
-        ever_leased: Whether it ever held.
-        leased_since: Monotonic time at which the present lease period began.
-        lapsed_at: Monotonic time at which the last one ended.
-        caught_up: Monotonic time at which the last whole reading of the log began; None before.
-        tried: The same of the last try that has ended, well or not; None before.
-        applied: Last change in force here.
-        newest: Greatest change heard of in the zone.
-        others: Whether other instances of the zone are known.
-        heard: Those heard of late.
+        has_configuration: Whether a configuration has been read from the platform or a zone peer.
+        leased: Whether the lease is valid.
+        ever_leased: Whether it has ever been valid.
+        leased_since: Monotonic time at which the current lease period began.
+        lapsed_at: Monotonic time at which the last lease period ended.
+        caught_up_at: Monotonic time at which the last complete read of the log began; None before.
+        last_attempt: Monotonic time at which the last finished attempt to read it began, successful
+            or not; None before.
+        applied: Number of the last change applied here.
+        newest: Highest number of a change that was heard of in the zone.
+        others_known: Whether other instances of the zone are known.
+        recent_peers: Those that were heard recently.
     """
 
     has_configuration: bool
@@ -171,22 +179,27 @@
     recent_peers: tuple[ZonePeer, ...]
 
 
-def refusal_reason(at: ServingState) -> Reason | None:
-    """Returns why an instance must not serve; None when it may."""
-    if not at.has_configuration:
+def refusal_reason(state: ServingState) -> Reason | None:
+    """Returns why an instance must not serve; None if it may."""
+    if not state.has_configuration:
         return Reason.NO_CONFIGURATION
-    if at.leased:
-        is_current = at.caught_up_at is not None and at.caught_up_at >= at.leased_since
+    if state.leased:
+        is_current = state.caught_up_at is not None and state.caught_up_at >= state.leased_since
         return None if is_current else Reason.NOT_CAUGHT_UP
-    return _refusal_without_lease(at)
+    return _reason_without_lease(state)
 
 
-def _refusal_without_lease(at: ServingState) -> Reason | None:
-    if at.last_attempt is None or at.last_attempt < at.lapsed_at or at.newest > at.applied:
+def _reason_without_lease(state: ServingState) -> Reason | None:
+    if (
+        state.last_attempt is None
+        or state.last_attempt < state.lapsed_at
+        or state.newest > state.applied
+    ):
         return Reason.NOT_CAUGHT_UP
-    # One that never had a lease is counted by nobody; it serves only as part of a zone that is.
-    if not at.recent_peers and (at.others_known or not at.ever_leased):
+    # No other instance counts one that never had a lease, so it serves only as part of a zone that
+    # others do count.
+    if not state.recent_peers and (state.others_known or not state.ever_leased):
         return Reason.CUT_OFF
-    if any(peer.leased and peer.reaches for peer in at.recent_peers):
+    if any(peer.leased and peer.reaches for peer in state.recent_peers):
         return Reason.NOT_LEASED
     return None
--- a/packages/wigeonarch-core/src/wigeonarch_core/settings.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/settings.py
@@ -1,7 +1,7 @@
-"""Decodes the settings of one instance from JSON, strictly, before any socket opens.
+"""Decodes the settings of one instance from JSON, strictly, before any socket is opened.
 
-Unknown keys and wrong types are found by msgspec, values out of range by the table `RANGES`, and
-values that do not go together by the table `CHECKS`. Each error names the JSON path.
+Unknown keys and wrong types are found by msgspec, numbers out of range by the table `RANGES`, and
+other invalid values and combinations by the table `CHECKS`. Each error names the JSON path.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class BadSettings(msgspec.Struct, frozen=True):
-    """Settings that cannot be used.
+    """Why settings can't be used.
 
     Attributes:
-        path: JSON path of the offending value, for example `$.timing.lease_term`.
+        path: JSON path of the invalid value, for example `$.timing.lease_term`.
         message: What is wrong with it.
     """
 
@@ -34,12 +34,12 @@
 
 
 class Range(msgspec.Struct, frozen=True):
-    """Which numbers a setting may be; the bounds belong to it unless said otherwise.
+    """Allowed range of a number; the bounds are allowed themselves unless said otherwise.
 
     Attributes:
         least: Lower bound.
         most: Upper bound.
-        above: Whether the lower bound itself is refused.
+        above: Whether the lower bound itself is not allowed.
     """
 
     least: float = 0.0
@@ -47,7 +47,7 @@
     above: bool = False
 
     def contains(self, value: float) -> bool:
-        """Tells whether a number is in the range; what is not finite never is."""
+        """Returns whether a number is in the range; an infinite or undefined one never is."""
         low = value > self.least if self.above else value >= self.least
         return low and value <= self.most and math.isfinite(value)
 
@@ -58,7 +58,13 @@
 
 
 class Check(msgspec.Struct, frozen=True):
-    """One rule about settings that go together, told at the path of the one to change."""
+    """A rule about settings that go together.
+
+    Attributes:
+        path: JSON path at which a violation is reported: of the setting to change.
+        predicate: Returns whether the settings follow the rule.
+        message: What is reported otherwise.
+    """
 
     path: str
     predicate: Callable[[Options], bool]
@@ -71,7 +77,7 @@
 SHARE: Final = Range(most=1.0)
 FRACTION: Final = Range(most=1.0, above=True)
 
-# Ranges of the numbers that are not just greater than 0.
+# Ranges of the numbers by JSON path; those that are missing here must be greater than 0.
 RANGES: Final[dict[str, Range]] = {
     "$.limits.body_bytes": COUNT,
     "$.limits.header_bytes": Range(least=256),
@@ -99,7 +105,7 @@
 }
 
 
-def _ip(host: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
+def _parse_ip(host: str) -> ipaddress.IPv4Address | ipaddress.IPv6Address | None:
     try:
         return ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
@@ -108,16 +114,16 @@
 
 def _is_address(text: str) -> bool:
     host, _, port = text.rpartition(":")
-    if _ip(host) is None or not (port.isascii() and port.isdigit()):
+    if _parse_ip(host) is None or not (port.isascii() and port.isdigit()):
         return False
     return 0 < int(port) <= MAX_PORT
 
 
 def _is_reachable(text: str) -> bool:
-    """Tells whether others can connect to an address: it must not stand for all of a host's."""
+    """Returns whether others can connect to an address, so it must not mean all of a host's."""
     host, _, _ = text.rpartition(":")
-    found = _ip(host)
-    return found is not None and not found.is_unspecified
+    ip = _parse_ip(host)
+    return ip is not None and not ip.is_unspecified
 
 
 def _are_distinct(opts: Options) -> bool:
@@ -140,7 +146,7 @@
     Check("$.rpc", lambda o: _is_reachable(o.rpc), REACHABLE),
     Check("$.peer", lambda o: _is_reachable(o.peer_public or o.peer), REACHABLE),
     Check("$.peer", _are_distinct, "http, rpc and peer must be three different addresses"),
-    Check("$.source", lambda o: not o.source or _ip(o.source) is not None, "must be an IP"),
+    Check("$.source", lambda o: not o.source or _parse_ip(o.source) is not None, "must be an IP"),
     Check("$.platform", lambda o: bool(o.platform), "must name at least one address"),
     Check("$.platform", lambda o: all(map(_is_address, o.platform)), "must be IP:PORT each"),
     Check(
@@ -186,7 +192,7 @@
     Check(
         "$.policy.turn_lease",
         lambda o: o.policy.turn_lease > o.policy.load_seconds,
-        "must be more than load_seconds, or a load would outlast its turn",
+        "must be more than load_seconds, or a load would outlast its permit",
     ),
     Check(
         "$.policy.retry_most",
@@ -203,7 +209,7 @@
         text: The JSON document, in UTF-8.
 
     Returns:
-        The options, or the first thing that is wrong with them.
+        The options, or the first error in them.
     """
     try:
         opts = msgspec.json.decode(text, type=Options)
@@ -212,7 +218,7 @@
         return BadSettings(path.rstrip("`") or "$", message)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         return BadSettings("$", str(exc))
-    for path, value in numbers(opts):
+    for path, value in iter_numbers(opts):
         allowed = RANGES.get(path, POSITIVE)
         if not allowed.contains(value):
             return BadSettings(path, f"must be {allowed}, not {value:g}")
@@ -222,7 +228,7 @@
     return opts
 
 
-def numbers(opts: Options) -> Iterator[tuple[str, float]]:
+def iter_numbers(opts: Options) -> Iterator[tuple[str, float]]:
     """Yields the JSON path and the value of each number among the settings."""
     groups: dict[str, Timing | Limits | PolicyOptions] = {
         "timing": opts.timing,
--- a/packages/wigeonarch-core/src/wigeonarch_core/slots.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/slots.py
@@ -1,8 +1,9 @@
 """Adapter slots of one engine, as its owner knows them.
 
-Two sources are merged: orders that the owner gave and saw answered, which are exact, and reports,
-which lag. A report can't undo an order that ended after the report was sampled: each slot keeps the
-time since which it is what it is, and departures are remembered until a later report confirms them.
+Two sources are merged: the results of the owner's own orders, which are exact, and reports, which
+lag. A report can't undo an order that ended after the report was sampled. To ensure this, each slot
+keeps the time of its last state change, and copies that were removed are remembered until a later
+report confirms it.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class SlotState(enum.Enum):
-    """What a slot is doing."""
+    """State of a slot that is in use."""
 
     LOADING = "loading"
     LOADED = "loaded"
@@ -25,14 +26,14 @@
 
 @dataclass(slots=True)
 class Slot:
-    """One slot in use.
+    """A slot that is in use.
 
     Attributes:
-        state: What it is doing.
+        state: Whether its copy is being loaded, is loaded, or is being evicted.
         since: Time of the last change of state, in seconds.
-        running: Requests that use it by the last report.
-        sampled: Time at which that report was true, in seconds.
-        ordered: Whether this owner's own load order is under way.
+        running: Requests that use it, by the last report.
+        sampled: Time at which that report was sampled, in seconds.
+        ordered: Whether this owner's own load order is in progress.
     """
 
     state: SlotState
@@ -43,7 +44,7 @@
 
 
 class SlotTable:
-    """The slots of one engine."""
+    """The adapter slots of one engine."""
 
     __slots__ = ("_departed", "_service", "_slots", "capacity", "incarnation")
 
@@ -55,7 +56,7 @@
         self._departed: dict[AdapterVersion, float] = {}
 
     def get(self, target: AdapterVersion) -> Slot | None:
-        """Returns the slot of an adapter version, if it has one."""
+        """Returns the slot of an adapter version; None if it has none."""
         return self._slots.get(target)
 
     def is_ready(self, target: AdapterVersion) -> bool:
@@ -72,7 +73,7 @@
         return [item for item in self._slots.items() if item[1].state is SlotState.LOADED]
 
     def has_free(self) -> bool:
-        """Tells whether a load needs no eviction."""
+        """Tells whether a slot is free, so that a load needs no eviction."""
         return len(self._slots) < self.capacity
 
     def is_idle_by_report(self, target: AdapterVersion) -> bool:
@@ -84,9 +85,9 @@
         """Merges a report.
 
         Args:
-            rep: The report.
+            report: The report.
             service: Service of the engine, which its reports leave out.
-            sampled: Time at which the report was true, in seconds.
+            sampled: Time at which the report was sampled, in seconds.
 
         Returns:
             Whether the engine has restarted since the last report.
@@ -103,13 +104,13 @@
         return restarted
 
     def begin_load(self, target: AdapterVersion, victim: AdapterVersion | None, now: float) -> None:
-        """Notes that a load, and perhaps an eviction before it, is being ordered."""
+        """Notes that a load, and the eviction of `victim` before it, is being ordered."""
         if victim is not None:
             self._slots[victim] = Slot(SlotState.EVICTING, now)
         self._slots[target] = Slot(SlotState.LOADING, now, ordered=True)
 
     def end_eviction(self, victim: AdapterVersion, now: float) -> None:
-        """Notes that an eviction has ended; if it failed, a later report shows the copy again."""
+        """Notes that an eviction has ended; if it failed, a later report lists the copy again."""
         slot = self._slots.get(victim)
         if slot is None or slot.state is not SlotState.EVICTING:
             return
@@ -117,7 +118,7 @@
         self._departed[victim] = now
 
     def end_load(self, target: AdapterVersion, ok: bool, now: float) -> bool:
-        """Notes that a load has ended; returns whether it was one that this table waits for."""
+        """Notes that a load has ended; returns whether this table was waiting for it."""
         slot = self._slots.get(target)
         if slot is None or not slot.ordered:
             return False
--- a/packages/wigeonarch-core/src/wigeonarch_core/snapshots.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/snapshots.py
@@ -1,12 +1,13 @@
-"""Snapshots of the catalogue as they are kept in the platform and sent to peers.
+"""Snapshots of the catalogue as they are stored in the platform and sent to peers.
 
-A snapshot is split into parts below the platform's limit of an object. The head object names the
-newest whole snapshot and the one before it; it is written on condition of its version after all the
-parts, so a reader never sees half of a snapshot. A writer first announces itself in the head, so
-that two do not write at once and the parts of one that died can be found and deleted.
+A snapshot is split into parts, each below the platform's size limit of an object. The head object
+names the newest complete snapshot and the one before it. It is written on condition of its version
+and after all parts, so a reader never sees half of a snapshot. Before it writes any parts, a writer
+announces the snapshot in the head. So no two writers write at the same time, and the parts left by
+a writer that died can be found and deleted.
 
-Elements of the log up to the last but one snapshot are deleted: a reader that has just read the
-head has the whole time until the next snapshot to read the parts that it names.
+Changes of the log up to the snapshot before the newest one are deleted. So a reader that has just
+read the head has all the time until the next snapshot to read the parts that it names.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
 from wigeonarch_core.entries import Stored
 
 HEAD: Final = "head"
-# Changes between two snapshots: few enough to read quickly at a start.
+# Number of changes between two snapshots: few enough to be read quickly at a start.
 CHANGES_PER_SNAPSHOT: Final = 1000
-PART_BYTES: Final = 600_000  # Base64 makes a third more of it.
-ENTRIES_PER_PIECE: Final = 1000  # Entries that are encoded at a time.
-COMPRESSION_LEVEL: Final = 1
+PART_BYTES: Final = 600_000  # Before Base64, which adds a third.
+ENTRIES_PER_PIECE: Final = 1000  # Number of entries that are encoded at a time.
+COMPRESSION_LEVEL: Final = 1  # Of zlib; the fastest.
 
 
 class SnapshotRef(msgspec.Struct, frozen=True):
-    """Names the parts of one snapshot.
+    """Identifies a snapshot and its parts.
 
     Attributes:
-        number: Last change in it.
+        number: Number of the last change that it contains.
         writer: Nonce of its writer; two writers never write the same part.
         parts: Number of parts; 0 while they are being written.
     """
@@ -47,9 +48,9 @@
     """The head object.
 
     Attributes:
-        latest: Newest whole snapshot.
-        previous: The one before it.
-        pending: One that is being written.
+        latest: Newest complete snapshot.
+        previous: The complete snapshot before it.
+        pending: A snapshot that is being written.
     """
 
     latest: SnapshotRef | None = None
@@ -58,7 +59,11 @@
 
 
 class SnapshotPart(msgspec.Struct, frozen=True):
-    """One part, as a JSON document."""
+    """One part, as a JSON document.
+
+    Attributes:
+        data: Its piece of the compressed snapshot, in Base64.
+    """
 
     data: str
 
@@ -75,7 +80,7 @@
 
 
 def newest_number(head: SnapshotHead | None) -> int:
-    """Returns the number of the newest snapshot; 0 without one."""
+    """Returns the number of the newest snapshot; 0 if there is none."""
     return head.latest.number if head and head.latest else 0
 
 
@@ -85,7 +90,7 @@
 
 
 def is_due(head: SnapshotHead | None, applied: int, every: int) -> bool:
-    """Tells whether a snapshot should be written."""
+    """Returns whether a new snapshot is due: `every` changes after the newest one."""
     return applied >= newest_number(head) + every
 
 
@@ -96,51 +101,51 @@
 
 
 def finish(head: SnapshotHead, parts: int) -> SnapshotHead:
-    """Returns the head once all parts of the pending snapshot are written."""
-    assert head.pending is not None, "a snapshot is announced before it is written"
+    """Returns the head after all parts of the pending snapshot have been written."""
+    assert head.pending is not None, "a snapshot must be announced before it is written"
     latest = msgspec.structs.replace(head.pending, parts=parts)
     return SnapshotHead(latest=latest, previous=head.latest)
 
 
 def first_kept_change(head: SnapshotHead) -> int:
-    """Returns the first element of the log that must be kept."""
+    """Returns the number of the first change of the log that must be kept."""
     return head.previous.number if head.previous else 0
 
 
 def encode(snapshot: Snapshot) -> Iterator[bytes]:
-    """Yields pieces of the compressed form; each takes a moment, so that others can run between.
+    """Yields pieces of the compressed snapshot, so that other tasks can run between them.
 
-    The form is a stream of MessagePack documents, each after its length: a preamble, then lists
-    of entries.
+    Decompressed, it is a sequence of MessagePack documents, each after its length: a preamble, then
+    lists of entries.
     """
     stream = zlib.compressobj(COMPRESSION_LEVEL)
     preamble = _Preamble(snapshot.applied, snapshot.last, snapshot.results)
-    yield stream.compress(_framed(_encoder.encode(preamble)))
+    yield stream.compress(_frame(_encoder.encode(preamble)))
     entries = snapshot.entries
     for first in range(0, len(entries), ENTRIES_PER_PIECE):
-        yield stream.compress(_framed(_encoder.encode(entries[first : first + ENTRIES_PER_PIECE])))
+        yield stream.compress(_frame(_encoder.encode(entries[first : first + ENTRIES_PER_PIECE])))
     yield stream.flush()
 
 
 def split(data: bytes) -> list[bytes]:
-    """Splits the compressed form into parts."""
+    """Splits the compressed snapshot into parts."""
     return [data[first : first + PART_BYTES] for first in range(0, len(data), PART_BYTES)]
 
 
 def to_part(piece: bytes) -> SnapshotPart:
-    """Returns a part's document."""
+    """Returns the document of a part."""
     return SnapshotPart(base64.b64encode(piece).decode())
 
 
 def from_part(part: SnapshotPart) -> bytes:
-    """Returns a part's piece of the compressed form."""
+    """Returns the piece of the compressed snapshot in a part."""
     return base64.b64decode(part.data)
 
 
 def decode(data: bytes) -> Snapshot | None:
-    """Returns the snapshot in a whole compressed form; None when it is damaged."""
+    """Returns the snapshot in the complete compressed form; None if that is damaged."""
     try:
-        frames = list(_unframed(zlib.decompress(data)))
+        frames = list(_iter_frames(zlib.decompress(data)))
         preamble = _preamble.decode(frames[0])
         entries = tuple(entry for frame in frames[1:] for entry in _entries.decode(frame))
     except (zlib.error, msgspec.DecodeError, IndexError):
@@ -151,13 +156,13 @@
 _LENGTH_BYTES: Final = 4
 
 
-def _framed(document: bytes) -> bytes:
+def _frame(document: bytes) -> bytes:
     return len(document).to_bytes(_LENGTH_BYTES, "big") + document
 
 
-def _unframed(data: bytes) -> Iterator[bytes]:
-    place = 0
-    while place < len(data):
-        begin = place + _LENGTH_BYTES
-        place = begin + int.from_bytes(data[place:begin], "big")
-        yield data[begin:place]
+def _iter_frames(data: bytes) -> Iterator[bytes]:
+    end = 0
+    while end < len(data):
+        start = end + _LENGTH_BYTES
+        end = start + int.from_bytes(data[end:start], "big")
+        yield data[start:end]
--- a/packages/wigeonarch-core/src/wigeonarch_core/store_contact.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/store_contact.py
@@ -1,23 +1,27 @@
-"""How long an instance has been in contact with the store, and whose entries may have lapsed.
-
-An endpoint's entry lapses when the endpoint could not renew it for some heartbeats, and is back
-shortly after the store's return. An instance that comes back from an outage therefore can't tell by
-a missing entry alone whether the endpoint is gone. Kept too long, an endpoint that left goes on
-getting requests; dropped too early, a service is empty for some seconds.
-
-Three things decide. Between two answers of the store that are less than `lapse` apart nothing
-lapses. An outage that others did not share was not the store's: endpoints could renew their
-entries all along, so what is missing was taken away. And what is kept is dropped in time whatever
-is believed: the way to the store may have been back since the last call that failed was sent, and
-from then on the time counts after which this instance must act on what the store accepts:
-
-    last failed call + `unsure`, at most; first answer + `comes_back`, at most
-
-So late notice, the time to come back and the look at the clock can't add up beyond the bound,
-whatever the pauses between calls are. Times are handed in.
-
-A store that came back from an older copy lacks the entries that were made since, however short it
-was away; they are written again within the time in which lapsed ones are back.
+"""Tracks an instance's contact with the store, to tell which missing entries may have lapsed.
+
+An endpoint's entry in the store lapses if the endpoint could not renew it for some heartbeats, and
+it is back shortly after the store's return. So after an outage, an instance can't tell from a
+missing entry alone whether the endpoint is gone. If the entry is kept too long, an endpoint that
+left keeps getting requests; if it is dropped too early, a service has no endpoints for some
+seconds.
+
+Three rules decide:
+
+- Between two answers of the store that are less than `lapse` apart, no entry lapses.
+- An outage that other instances did not share was not the store's. The endpoints could renew their
+  entries all the time, so a missing entry was removed.
+- A missing entry counts as lapsed only until the earlier of two times, whatever this instance
+  believes: the last failed call plus `reaction_time`, and the first answer plus `return_time`. The
+  first of them holds because the store may have been reachable again since the last failed call was
+  sent, and `reaction_time` is the time in which this instance must act on what the store accepts.
+
+So late notice of the store's return, the time in which entries come back and the interval between
+checks can't add up beyond that bound, however long the pauses between calls are. Times are passed
+in as arguments.
+
+A store that was restored from an older copy lacks the entries made since that copy, however short
+the outage was. They are written again within the same `return_time`.
 """
 
 from __future__ import annotations
@@ -27,15 +31,15 @@
 
 import msgspec
 
-NEVER: Final = float("-inf")  # Before all times.
+NEVER: Final = float("-inf")  # Earlier than any time, in seconds.
 
 
 class Contact(msgspec.Struct, frozen=True):
-    """A stretch of time in which the store answered an instance without an outage.
+    """A period in which the store answered an instance without an outage.
 
     Attributes:
-        since: Its first answer.
-        until: Its last answer so far.
+        since: Time of its first answer, in seconds.
+        until: Time of its last answer so far, in seconds.
     """
 
     since: float
@@ -43,13 +47,13 @@
 
 
 class LapseTimes(msgspec.Struct, frozen=True):
-    """What is known of entries that lapse, in seconds.
+    """Times that bound how entries lapse and come back, in seconds.
 
     Attributes:
-        lapse: Least time without the store in which an entry lapses.
-        comes_back: Time after the store's return in which a lapsed entry is back.
-        unsure: Time after the way to the store is back in which this instance may still act on what
-            it knew before.
+        lapse: Shortest time without the store in which an entry lapses.
+        return_time: Time after the store's return in which a lapsed entry is back.
+        reaction_time: Time after the store is reachable again for which this instance may still act
+            on what it knew before.
     """
 
     lapse: float
@@ -58,58 +62,66 @@
 
 
 class StoreContact:
-    """When the store answered this instance, by itself or by one that watches for it."""
-
-    __slots__ = ("_before", "_older", "_reached", "_since", "_times", "_tried", "_until")
+    """When the store answered this instance, directly or through one that watches it for others."""
+
+    __slots__ = (
+        "_before_outage",
+        "_last_failed_call",
+        "_older_copy_at",
+        "_reachable_from",
+        "_since",
+        "_times",
+        "_until",
+    )
 
     def __init__(self, times: LapseTimes) -> None:
-        """Has had no answer yet."""
+        """Starts without any answer."""
         self._times = times
         self._since = NEVER
         self._until = NEVER
-        self._before = NEVER  # Last answer before the last outage.
-        self._reached = NEVER  # Earliest time at which the way may have been back after it.
-        self._tried = NEVER  # Start of the last call that failed.
-        self._older = NEVER  # Time at which the store was seen to have come back older.
+        self._before_outage = NEVER  # Last answer before the last outage.
+        self._reachable_from = NEVER  # Earliest possible end of the last outage.
+        self._last_failed_call = NEVER  # Start of the last failed call.
+        self._older_copy_at = NEVER  # When the store was found restored from an older copy.
 
     def record_answer(self, at: float) -> None:
-        """Notes an answer of the store, as of a time."""
+        """Records an answer of the store as of a time."""
         if at <= self._until:
             return
         if at - self._until >= self._times.lapse:
-            # Without a failed call in it, nothing was asked or this process stood still.
-            away = self._tried > self._until
-            self._before = self._until if away else NEVER
-            self._reached = self._tried
+            # Without a failed call in the gap, no call was made, or this process was suspended.
+            outage = self._last_failed_call > self._until
+            self._before_outage = self._until if outage else NEVER
+            self._reachable_from = self._last_failed_call
             self._since = at
         self._until = at
 
     def record_failure(self, began: float) -> None:
-        """Notes a call without an answer that began at a time."""
-        self._tried = max(self._tried, began)
+        """Records a call that began at a time and got no answer."""
+        self._last_failed_call = max(self._last_failed_call, began)
 
     def record_older_copy(self, at: float) -> None:
-        """Notes that the store came back from an older copy."""
-        self._older = at
+        """Records that the store was found restored from an older copy."""
+        self._older_copy_at = at
 
     def contact(self) -> Contact | None:
-        """Returns the stretch that goes on, or the last one; None before the first answer."""
+        """Returns the current or last period of contact; None before the first answer."""
         return Contact(self._since, self._until) if self._until > NEVER else None
 
     def may_lapse_until(self, witnesses: Iterable[Contact]) -> float:
-        """Returns the time until which a missing entry may be one that lapsed.
+        """Returns the time until which a missing entry may have lapsed rather than been removed.
 
         Args:
-            witnesses: Contacts of those who would have shared an outage of the endpoint.
+            witnesses: Periods of contact of those that would have shared an outage of the endpoint.
         """
-        written_again = self._older + self._times.return_time
-        if self._before == NEVER or any(map(self._spans_outage, witnesses)):
-            return written_again
+        rewritten_by = self._older_copy_at + self._times.return_time
+        if self._before_outage == NEVER or any(map(self._spans_outage, witnesses)):
+            return rewritten_by
         times = self._times
-        lapsed = min(self._since + times.return_time, self._reached + times.reaction_time)
-        return max(lapsed, written_again)
+        lapsed = min(self._since + times.return_time, self._reachable_from + times.reaction_time)
+        return max(lapsed, rewritten_by)
 
     def _spans_outage(self, contact: Contact) -> bool:
-        """Tells whether it leaves too little of the last outage for an entry to lapse."""
+        """Returns whether a contact leaves too little of the last outage for a lapse."""
         lapse = self._times.lapse
-        return contact.since - self._before < lapse and self._since - contact.until < lapse
+        return contact.since - self._before_outage < lapse and self._since - contact.until < lapse
--- a/packages/wigeonarch-core/src/wigeonarch_core/takeover_quarantine.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/takeover_quarantine.py
@@ -1,19 +1,19 @@
-"""When a new owner may evict what the last owner may have granted.
+"""Decides when a new owner may evict adapter versions that the last owner may have granted.
 
-The last owner can grant nothing more once its lease has lapsed, but a grant that it gave just
-before may still be used, and requests that it granted may still run. So a new owner evicts nothing
-until two things have happened:
+Once its lease has lapsed, the last owner can grant nothing more. But a grant that it gave just
+before may still be used, and requests that it granted may still be running. So a new owner evicts
+nothing until two things have happened:
 
 * *Settling*: the validity of any old grant has run out, with a margin for a request on its way to
-  the engine. From then on every request that begins was granted by the new owner.
-* *Declarations*: the instances that it hears have declared their pins, so that their requests are
-  protected even if the engine has not begun them yet.
+  the engine. From then on, every request that starts was granted by the new owner.
+* *Declarations*: the instances that the new owner can hear have declared their pins. Their requests
+  are then protected even if the engine has not started them yet.
 
-After that it may evict a copy that a report *sampled after the settling* shows without requests.
-Whatever is not seen idle so stays until every old request has met its hard deadline.
+After that, it may evict a copy that a report *sampled after the settling* shows without requests. A
+copy that is not seen idle in this way stays until every old request has reached its hard deadline.
 
 Example: with a settling time of 7 s, an engine taken over at 100.0 keeps all its copies until a
-report sampled at 107.0 or later shows some of them idle; a copy with running requests is kept.
+report sampled at 107.0 or later shows some of them idle. A copy with running requests is kept.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class QuarantineStage(enum.StrEnum):
-    """How far a quarantine has come, as operators see it."""
+    """How far a take-over quarantine has progressed, as operators see it."""
 
     SETTLING = "settling"
     DECLARING = "declaring"
@@ -37,11 +37,11 @@
 
 
 class QuarantineBounds(msgspec.Struct, frozen=True):
-    """Durations of a quarantine, in seconds.
+    """Durations of a take-over quarantine, in seconds.
 
     Attributes:
-        settle: After it no request granted by the last owner can begin.
-        longest: After it every such request has met its hard deadline.
+        settle: Time after which no request granted by the last owner can start.
+        longest: Time after which every such request has reached its hard deadline.
     """
 
     settle: float
@@ -49,53 +49,57 @@
 
 
 class TakeoverQuarantine:
-    """The quarantine of one engine at its new owner."""
+    """The quarantine of one engine after a new owner has taken it over."""
 
-    __slots__ = ("_began", "_bounds", "_idle", "_undeclared")
+    __slots__ = ("_bounds", "_seen_idle", "_started_at", "_undeclared")
 
     def __init__(self, bounds: QuarantineBounds, undeclared: Collection[str], now: float) -> None:
-        """Begins a quarantine.
+        """Starts a quarantine.
 
         Args:
             bounds: Its durations.
             undeclared: Instances that may hold pins.
-            now: Time at which the ownership was written or later, in seconds.
+            now: Time in seconds, not before the ownership was written.
         """
         self._bounds = bounds
-        self._began = now
+        self._started_at = now
         self._undeclared = set(undeclared)
-        self._idle: set[AdapterVersion] = set()
+        self._seen_idle: set[AdapterVersion] = set()
 
-    def record_declaration(self, asker: str) -> None:
-        """Notes that an instance has declared its pins, or can't be heard any more."""
-        self._undeclared.discard(asker)
+    def record_declaration(self, requester: str) -> None:
+        """Records that an instance has declared its pins, or can't be heard any more."""
+        self._undeclared.discard(requester)
 
     def undeclared(self) -> list[str]:
-        """Returns the instances that have not declared their pins."""
+        """Returns the instances that have not declared their pins, sorted."""
         return sorted(self._undeclared)
 
-    def record_report(self, rep: EngineReport, service: str, sampled: float) -> None:
-        """Notes which copies a report shows idle; what the engine itself queues may use any."""
-        if sampled < self._began + self._bounds.settle or rep.waiting:
+    def record_report(self, engine_report: EngineReport, service: str, sampled: float) -> None:
+        """Records which copies a report shows idle.
+
+        A report with requests waiting in the engine's own queue shows nothing, as these may use any
+        copy.
+        """
+        if sampled < self._started_at + self._bounds.settle or engine_report.waiting:
             return
-        self._idle.update(
+        self._seen_idle.update(
             AdapterVersion(service, entry.adapter, entry.version)
-            for entry in rep.loaded
+            for entry in engine_report.loaded
             if entry.running == 0
         )
 
     def may_evict(self, target: AdapterVersion, now: float) -> bool:
-        """Tells whether no request that the last owner granted can use a copy."""
+        """Returns whether no request granted by the last owner can be using an adapter version."""
         stage = self.stage(now)
         return stage is QuarantineStage.OVER or (
-            stage is QuarantineStage.IDLE_ONLY and target in self._idle
+            stage is QuarantineStage.IDLE_ONLY and target in self._seen_idle
         )
 
     def stage(self, now: float) -> QuarantineStage:
-        """Returns how far it has come."""
-        passed = now - self._began
-        if passed >= self._bounds.longest:
+        """Returns the stage that the quarantine has reached."""
+        elapsed = now - self._started_at
+        if elapsed >= self._bounds.longest:
             return QuarantineStage.OVER
-        if passed < self._bounds.settle:
+        if elapsed < self._bounds.settle:
             return QuarantineStage.SETTLING
         return QuarantineStage.DECLARING if self._undeclared else QuarantineStage.IDLE_ONLY
--- a/packages/wigeonarch-core/src/wigeonarch_core/teams.py
+++ b/packages/wigeonarch-core/src/wigeonarch_core/teams.py
@@ -1,8 +1,8 @@
-"""Teams, their API keys and their quotas, as an operator configures them.
+"""Teams, their API keys and their quotas, as operators configure them.
 
-Keys are secrets: only their digests are kept here, and a key is looked up by its digest, so that
-the time of a look-up tells nothing about keys that exist. What decides on a request's way is a pure
-function of one version of the configuration, which is replaced as a whole.
+API keys are secrets. Only their digests are stored here, and a key is looked up by its digest, so
+that the time of a look-up reveals nothing about the keys that exist. Which team a request belongs
+to is a pure function of one version of the configuration, which is replaced as a whole.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
     Attributes:
         unit: What is counted.
         rate: Units per second; above 0.
-        burst: Units besides.
-        plain_cost: Tokens that a request counts as when it does not say its tokens.
+        burst: Units allowed in addition.
+        plain_cost: Tokens that a request counts as if it does not say how many it needs.
     """
 
     unit: Unit
@@ -38,7 +38,7 @@
     plain_cost: float = 0.0
 
     def cost(self, tokens: int | None) -> float:
-        """Returns the units of a request; `tokens` is None when it does not say them."""
+        """Returns the units that a request costs; `tokens` is None if the request does not say."""
         if self.unit is Unit.REQUESTS:
             return 1.0
         return self.plain_cost if tokens is None else float(tokens)
@@ -48,9 +48,9 @@
     """A team.
 
     Attributes:
-        name: Its name, which endpoints are told.
-        priority: Rank of its requests, before that of their route; None leaves the route's.
-        quota: Its quota; None when it has no limit.
+        name: Its name, which is sent to endpoints.
+        priority: Priority of its requests, instead of their route's; None to use the route's.
+        quota: Its quota; None if it has no limit.
     """
 
     name: str
@@ -60,31 +60,31 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedTeam:
-    """A team with its API keys, as a configuration holds it."""
+    """A team with its API keys, as a configuration contains it."""
 
     team: Team
     keys: Sequence[str] = field(repr=False)
 
 
 class Teams:
-    """The teams of one version of the configuration; never changed after it is made."""
+    """The teams of one version of the configuration; immutable."""
 
     __slots__ = ("_by_digest", "_by_name")
 
     def __init__(self, keyed: Iterable[KeyedTeam]) -> None:
-        """Makes the table.
+        """Builds the table.
 
         Raises:
-            ValueError: Two teams have one name or hold one key, or a key is empty.
+            ValueError: Two teams have the same name or the same key, or a key is empty.
         """
         self._by_name: dict[str, Team] = {}
         self._by_digest: dict[bytes, Team] = {}
-        for each in keyed:
-            team = each.team
+        for keyed_team in keyed:
+            team = keyed_team.team
             if team.name in self._by_name:
-                raise ValueError(f"team {team.name} is there twice")
+                raise ValueError(f"team {team.name} is defined twice")
             self._by_name[team.name] = team
-            for key in each.keys:
+            for key in keyed_team.keys:
                 self._add_key(team, key)
 
     def _add_key(self, team: Team, key: str) -> None:
@@ -92,14 +92,14 @@
             raise ValueError(f"team {team.name} has an empty key")
         owner = self._by_digest.setdefault(_digest(key), team)
         if owner is not team:
-            raise ValueError(f"teams {owner.name} and {team.name} hold the same key")
+            raise ValueError(f"teams {owner.name} and {team.name} have the same key")
 
     def team_by_key(self, key: str) -> Team | None:
-        """Returns the team that holds a key; None for a key that nobody holds."""
+        """Returns the team that has a key; None if no team has it."""
         return self._by_digest.get(_digest(key))
 
     def get(self, name: str) -> Team | None:
-        """Returns a team by name."""
+        """Returns the team with a name; None if there is none."""
         return self._by_name.get(name)
 
     def all(self) -> list[Team]:
@@ -108,7 +108,7 @@
 
 
 class KeyProblem(enum.StrEnum):
-    """Why a request's key gives no team."""
+    """Why no team can be found for a request's key."""
 
     MISSING = "key_missing"
     UNKNOWN = "key_unknown"
@@ -118,18 +118,18 @@
     """Returns the team for which a request is made.
 
     Args:
-        teams: The teams; None where the configuration has none, so that no key is asked for.
-        key: The key that the request carries; None when it carries none that can be read.
+        teams: The teams; None if the configuration has none, so that no key is needed.
+        key: The key in the request; None if it has none that can be read.
         public: Whether its route needs no key.
 
     Returns:
-        The team; None for a request that needs none; or why it is not allowed.
+        The team; None for a request that needs none; or why the request is not allowed.
     """
     if teams is None:
         return None
-    found = teams.team_by_key(key) if key is not None else None
-    if found is not None or public:
-        return found
+    team = teams.team_by_key(key) if key is not None else None
+    if team is not None or public:
+        return team
     return KeyProblem.MISSING if key is None else KeyProblem.UNKNOWN
 
 
--- a/packages/wigeonarch-runtime/src/wigeonarch_runtime/__init__.py
+++ b/packages/wigeonarch-runtime/src/wigeonarch_runtime/__init__.py
@@ -1,4 +1,4 @@
-"""What every process of the serving layer stands on: its clock and its log.
+"""What every process of the serving layer uses: its clock and its log.
 
-Both kinds of instance use it, and neither of them the other.
+Entry and gateway instances both use this package; neither uses the other's.
 """
--- a/packages/wigeonarch-runtime/src/wigeonarch_runtime/clock.py
+++ b/packages/wigeonarch-runtime/src/wigeonarch_runtime/clock.py
@@ -1,4 +1,4 @@
-"""The clocks that the tasks hand to the core."""
+"""The clocks whose times are passed to the core."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def monotonic() -> float:
-    """Returns seconds on a clock that only goes forward and also counts suspended time."""
+    """Returns seconds on a clock that never goes back and also counts the time while suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
--- a/packages/wigeonarch-runtime/src/wigeonarch_runtime/logqueue.py
+++ b/packages/wigeonarch-runtime/src/wigeonarch_runtime/logqueue.py
@@ -1,8 +1,8 @@
-"""A bounded queue between those who log and a file that may not take what is written.
+"""A bounded queue of log lines in front of a file that may not accept them in time.
 
-Lines are written by a thread, several in one call. A line that does not fit is dropped and counted;
+A thread writes the lines, several in one call. A line that does not fit is dropped and counted, and
 the count is written as a line of its own when there is room again. Nothing here makes the caller
-wait: standard output that nobody reads costs lines, never time.
+wait: if nobody reads standard output, lines are lost, but no time.
 """
 
 from __future__ import annotations
@@ -13,17 +13,15 @@
 from typing import Final
 
 MAX_LINES: Final = 4_000  # Some seconds of the busiest instance, about a megabyte.
-LINES_PER_WRITE: Final = 200  # Lines in one write.
-WRITE_INTERVAL: Final = (
-    0.05  # Seconds between writes, so that a line does not wake the thread by itself.
-)
+LINES_PER_WRITE: Final = 200
+WRITE_INTERVAL: Final = 0.05  # Seconds between writes, so that single lines don't wake the thread.
 
 
 class LogQueue:
-    """Lines on their way to a file descriptor.
+    """Log lines on their way to a file descriptor.
 
     Attributes:
-        dropped: Lines dropped so far.
+        dropped: Number of lines dropped so far.
     """
 
     def __init__(self, fd: int, bound: int = MAX_LINES) -> None:
@@ -31,26 +29,26 @@
         self._bound = bound
         self._lines: deque[str] = deque()
         self._started = False
-        self._told = 0
+        self._reported_dropped = 0
         self._idle = threading.Event()
         self._stop = threading.Event()
         self.dropped = 0
 
     def start(self) -> None:
-        """Starts the thread that writes, once."""
+        """Starts the writing thread, unless it was started before."""
         if not self._started:
             self._started = True
             threading.Thread(target=self._run, name="log", daemon=True).start()
 
     def put(self, line: str) -> None:
-        """Takes a line, or drops it when there are too many."""
+        """Adds a line, or drops it if the queue is full."""
         if len(self._lines) >= self._bound:
             self.dropped += 1
             return
         self._lines.append(str(line))
 
     def flush(self, timeout: float) -> None:
-        """Waits until what was put is written, at most so many seconds."""
+        """Waits at most `timeout` seconds for the thread to write all lines and stop."""
         self._stop.set()
         if self._started:
             self._idle.wait(timeout)
@@ -67,12 +65,12 @@
 
     def _write_batch(self) -> None:
         batch = [self._lines.popleft() for _ in range(min(LINES_PER_WRITE, len(self._lines)))]
-        if self.dropped > self._told:
+        if self.dropped > self._reported_dropped:
             batch.append(f"level=warning event=log_lines_dropped count={self.dropped}\n")
-            self._told = self.dropped
+            self._reported_dropped = self.dropped
         data = "".join(batch).encode()
         while data:
             try:
                 data = data[os.write(self._fd, data) :]
             except OSError:
-                return  # The reader is gone; there is nobody left to tell.
+                return  # The reader is gone, so the lines can't be written.
--- a/packages/wigeonarch-runtime/src/wigeonarch_runtime/logs.py
+++ b/packages/wigeonarch-runtime/src/wigeonarch_runtime/logs.py
@@ -1,7 +1,7 @@
 """Structured logs: one line of key=value pairs per event.
 
-To standard error at once, or to standard output by a bounded queue where a reader that stops must
-not stop the process.
+Lines go directly to standard error, or through a bounded queue to standard output if a reader that
+stops must not stop the process.
 """
 
 from __future__ import annotations
@@ -24,7 +24,8 @@
 def _quoted(value: object) -> str:
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
     if not text.isprintable():
-        # Escapes whatever could end the line or move a cursor; callers choose some texts.
+        # Escapes everything that could end the line or move a terminal's cursor, because callers
+        # choose some of the texts.
         return json.dumps(text)
     if not text or not _NEEDS_QUOTES.isdisjoint(text):
         return json.dumps(text, ensure_ascii=False)
@@ -41,7 +42,7 @@
     text = " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items())
     if record["exception"] is not None:
         text += f" exc={_quoted(repr(record['exception'].value))}"
-    # Loguru formats what is returned once more, so braces and tags must be escaped.
+    # Loguru formats the returned text once more, so braces and tags must be escaped.
     return text.replace("{", "{{").replace("}", "}}").replace("<", r"\<") + "\n"
 
 
@@ -53,7 +54,7 @@
 
 
 def set_up_bounded(level: str, **context: str) -> None:
-    """Sends events to standard output by a queue that never makes the caller wait."""
+    """Sends events to standard output through a queue that never makes the caller wait."""
     logger.remove()
     logger.configure(extra=dict(context))
     logger.add(_sink.put, level=level, format=_line, colorize=False)
@@ -61,12 +62,12 @@
 
 
 def flush(timeout: float = 1.0) -> None:
-    """Waits until what was logged is written, at most so many seconds."""
+    """Waits until all logged lines are written, for at most `timeout` seconds."""
     _sink.flush(timeout)
 
 
 def dropped_lines() -> int:
-    """Returns the lines that nobody took in time."""
+    """Returns the number of lines dropped because they could not be written in time."""
     return _sink.dropped
 
 
@@ -75,7 +76,7 @@
 
     Args:
         event: Name of the event, in snake case.
-        level: Its level.
-        **pairs: What is known of it.
+        level: Its log level.
+        **pairs: Key-value pairs that describe it.
     """
     logger.bind(**pairs).opt(depth=1).log(level, event)
--- a/tests/engine_states.py
+++ b/tests/engine_states.py
@@ -1,10 +1,10 @@
-"""States of engines that tests of choices begin from."""
+"""Engine states that the tests of engine choice start from."""
 
 from __future__ import annotations
 
 from wigeonarch_core.engine_choice import EngineState
 
-# An engine with nothing to do that lacks the adapter and could load it.
+# An idle engine that does not hold the adapter and could load it.
 IDLE = EngineState(
     endpoint="e",
     same_zone=True,
--- a/tests/ownership_world.py
+++ b/tests/ownership_world.py
@@ -1,9 +1,10 @@
-"""A zone in memory for the ownership machine: the real core, a platform, one engine, a clock.
+"""A simulated zone for tests of ownership: the real core, a platform, one engine and a clock.
 
-Processes decide by the core's aggregates alone; this module only carries out. Every process has a
-clock that runs at its own rate. What a process has decided (an order, a request, the answer of a
-write) can stay in its hands while it is frozen. Messages can be late, lost and doubled. The engine
-judges: evicting a copy that a request uses is noted in `harm`.
+Processes decide only through the classes of the core; this module carries their decisions out. Each
+process has a clock that runs at its own rate. What a process has decided (an order, a request,
+handling the answer to a write) can stay pending while the process is frozen. Messages can be
+delayed, lost and repeated. The engine checks the result: evicting a copy that a request uses is
+recorded in `Engine.violations`.
 """
 
 from __future__ import annotations
@@ -51,7 +52,7 @@
 ENGINE: Final = "engine"
 SERVICE: Final = "drafting"
 TERM, MARGIN, VALIDITY, LONGEST = 6.0, 1.0, 5.0, 30.0
-# The first one owns the engine at first; it has the slowest clock.
+# The process `slow` owns the engine at first, and has the slowest clock.
 RATES: Final = {"slow": 0.96, "mean": 1.0, "fast": 1.04}
 TARGETS: Final = tuple(AdapterVersion(SERVICE, name, "v1") for name in ("x", "y", "z"))
 POLICY: Final = PolicyOptions(thrash_guard=0.0, load_backoff=0.01)
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """A mechanism taken away; all of them are there by default."""
+    """Switches off one of the mechanisms under test; by default all of them are on."""
 
     margin: bool = True
     quarantine: bool = True
@@ -72,7 +73,7 @@
 
 @dataclass
 class Platform:
-    """Conditional writes of leases and ownerships."""
+    """Stores leases and ownerships by conditional writes."""
 
     revision: int = 0
     leases: dict[str, tuple[int, LeaseRecord]] = field(default_factory=dict)
@@ -89,7 +90,7 @@
 
 @dataclass
 class Engine:
-    """Two slots; the judge."""
+    """An engine with two slots; records violations."""
 
     checks_fence: bool
     loaded: set[AdapterVersion] = field(default_factory=lambda: set(TARGETS[:2]))
@@ -119,7 +120,7 @@
 
 @dataclass(frozen=True)
 class Order:
-    """An eviction and a load, with the fencing number; neither for an announcement."""
+    """An eviction and a load with their fencing token; an announcement has neither."""
 
     owner: str
     fence: int
@@ -128,7 +129,7 @@
 
 
 class World:
-    """Everything, with the clock."""
+    """The platform, the engine, the processes, the messages in transit and the clock."""
 
     def __init__(self, mutation: Mutation, *, checks_fence: bool) -> None:
         self.clock = 100.0
@@ -150,7 +151,7 @@
             self.finish_request(name)
 
     def deliver_messages(self) -> None:
-        """Delivers all messages, and those that they cause; a muted process's are held up."""
+        """Delivers all messages and those that they cause; those of muted processes are delayed."""
         while self.in_transit:
             sender, name, message = self.in_transit.pop(0)
             if self.muted & {sender, name} and sender != name:
@@ -161,9 +162,9 @@
             process.run_pending_actions()
 
     def run(self, seconds: float, *, reports: bool = True) -> None:
-        """Lets all that are not frozen do their duties once a half second."""
-        until = self.clock + seconds
-        while self.clock < until:
+        """Lets all processes that are not frozen carry out their duties every half second."""
+        end = self.clock + seconds
+        while self.clock < end:
             self.advance(0.5)
             for process in self.processes.values():
                 process.run_duties()
@@ -172,39 +173,39 @@
             self.deliver_messages()
 
     def deliver_delayed(self, *kinds: type) -> None:
-        """Delivers the messages that were held up; of some kinds only, if there are any given."""
-        late = [each for each in self.delayed if not kinds or isinstance(each[2], kinds)]
-        self.delayed = [each for each in self.delayed if each not in late]
-        for _, name, message in late:
+        """Delivers the delayed messages; only those of some types if any are given."""
+        delivered = [item for item in self.delayed if not kinds or isinstance(item[2], kinds)]
+        self.delayed = [item for item in self.delayed if item not in delivered]
+        for _, name, message in delivered:
             self.processes[name].receive(message)
         self.deliver_messages()
 
     def deliver_orders(self) -> None:
-        """Brings all orders under way to the engine."""
+        """Delivers all pending orders to the engine."""
         orders, self.pending_orders = self.pending_orders, []
         for order in orders:
             self.execute_order(order)
 
     def execute_order(self, order: Order) -> None:
-        """Brings an order to the engine, and its answer to the owner."""
+        """Executes an order at the engine and returns its result to the owner."""
         done = self.engine.order(order)
         self.processes[order.owner].run_when_thawed(
             lambda process: process.on_order_done(order, done)
         )
 
-    def finish_request(self, ask: str) -> None:
-        """Ends a request on the engine; its asker hears of it when it runs."""
-        self.engine.running.pop(ask, None)
+    def finish_request(self, dispatch_id: str) -> None:
+        """Ends a request on the engine; its requester learns of it when it is not frozen."""
+        self.engine.running.pop(dispatch_id, None)
         for process in self.processes.values():
-            process.run_when_thawed(lambda each: each.on_request_finished(ask))
+            process.run_when_thawed(lambda thawed: thawed.on_request_finished(dispatch_id))
 
     def kill(self, name: str) -> None:
-        """Ends a process and starts another one of the same name."""
+        """Ends a process and starts another one with the same name."""
         self.processes[name] = Process(self, name)
 
 
 class Process:
-    """One instance: owner and asker."""
+    """One instance, as an owner and as a requester."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
@@ -214,7 +215,7 @@
         self.pending_actions: list[Callable[[Process], None]] = []
         self.fleet = Fleet(name, "zone", self.boot, MARGIN, TERM, self.now)
         self.fleet.observe_list([Listed(ENGINE, "127.0.0.1:1", "zone", Role.ENGINE, SERVICE)])
-        # Without a margin the holder counts on its lease for as long as the others do.
+        # Without the margin, the holder relies on its lease for as long as the others do.
         self.lease = HeldLease(TERM if mutation.margin else TERM + 2 * MARGIN, MARGIN)
         self.promises_given, self.promises_held = PromisesGiven(TERM), PromisesHeld(TERM)
         self.needed_peers: list[str] = []
@@ -239,27 +240,27 @@
     def others(self) -> list[str]:
         return [name for name in RATES if name != self.name]
 
-    def run_when_thawed(self, act: Callable[[Process], None]) -> None:
-        """Does something now, or when the process is thawed."""
+    def run_when_thawed(self, action: Callable[[Process], None]) -> None:
+        """Runs an action now, or when the process is thawed."""
         if self.frozen:
-            self.pending_actions.append(act)
+            self.pending_actions.append(action)
         else:
-            act(self)
+            action(self)
 
     def receive(self, message: Message) -> None:
         self.run_when_thawed(lambda process: process.handle(message))
 
-    # What it does when it runs ------------------------------------------------------------------
+    # Duties -------------------------------------------------------------------------------------
 
     def run_duties(self) -> None:
-        """All duties once, carried out at once."""
+        """Decides on all duties once and carries the decisions out at once."""
         if self.frozen:
             return
         self.decide_actions()
         self.run_pending_actions()
 
     def decide_and_freeze(self) -> None:
-        """All duties once, but the process is frozen with everything in hand."""
+        """Decides on all duties once, but freezes before it carries anything out."""
         if not self.frozen:
             self.decide_actions()
             self.frozen = True
@@ -285,17 +286,17 @@
             for name in self.others():
                 self.send(name, Support(number, self.record(), self.lease.version))
         self.act_as_owner(now)
-        for ask, deadline in list(self.waiting_requests.values()):
-            self.repeat_request(ask, deadline, now)
+        for request, deadline in list(self.waiting_requests.values()):
+            self.repeat_request(request, deadline, now)
 
     def send_heartbeat(self) -> None:
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             self.name, "zone", self.boot, 0, False, not self.is_cut_off, (), self.promised_owners()
         )
         for name in self.others():
             peer = self.world.processes[name]
             if not peer.frozen and not self.world.muted & {self.name, name}:
-                peer.fleet.observe_heartbeat(beat, peer.now)
+                peer.fleet.observe_heartbeat(heartbeat, peer.now)
 
     def promised_owners(self) -> tuple[str, ...]:
         return self.promises_given.owners(self.now) if self.world.mutation.promises else ()
@@ -325,17 +326,17 @@
             self.fleet.observe_lease(record, version, now)
         for version, owner in self.world.platform.owners.values():
             self.fleet.observe_owner(owner, version)
-        held = self.fleet.owners.get(ENGINE)
-        mine = held is not None and (held.owner, held.boot) == (self.name, self.boot)
-        if self.grants is not None and held is not None and not mine:
+        recorded = self.fleet.owners.get(ENGINE)
+        mine = recorded is not None and (recorded.owner, recorded.boot) == (self.name, self.boot)
+        if self.grants is not None and recorded is not None and not mine:
             self.grants = None
 
     # Ownership ----------------------------------------------------------------------------------
 
     def local_state(self) -> LocalState:
-        holdings = {ENGINE: self.grants.ownership} if self.grants else {}
-        given = self.promises_given if self.world.mutation.promises else PromisesGiven(TERM)
-        return LocalState(self.lease, holdings, given, pause=1e9)
+        owned = {ENGINE: self.grants.ownership} if self.grants else {}
+        promises = self.promises_given if self.world.mutation.promises else PromisesGiven(TERM)
+        return LocalState(self.lease, owned, promises, pause=1e9)
 
     def plan_claims(self, now: float) -> None:
         for move in plan_moves(self.fleet, self.local_state(), now):
@@ -361,10 +362,10 @@
         self.fleet.observe_owner(OwnerRecord(ENGINE, self.name, self.boot), version)
         if not self.lease.is_valid(now) or self.lease.generation != generation:
             return
-        holding = HeldOwnership(version, generation, now)
+        ownership = HeldOwnership(version, generation, now)
         announced = not (self.world.engine.checks_fence and self.world.mutation.fencing)
         if self.grants is not None:
-            self.grants.ownership, self.grants.announced = holding, announced
+            self.grants.ownership, self.grants.announced = ownership, announced
             return
         settle = VALIDITY + POLICY.pin_margin + MARGIN
         bounds = QuarantineBounds(settle, LONGEST + POLICY.pin_margin + MARGIN)
@@ -372,7 +373,7 @@
         is_new = claim.expected == 0 or not self.world.mutation.quarantine
         self.grants = EngineGrants(
             ENGINE,
-            holding,
+            ownership,
             None if is_new else quarantine,
             announced=announced,
             validity=VALIDITY + MARGIN,
@@ -381,42 +382,42 @@
         self.scheduler.may_evict = self.grants.may_evict
 
     def act_as_owner(self, now: float) -> None:
-        custody = self.grants
-        if custody is None:
+        grants = self.grants
+        if grants is None:
             return
-        if not custody.announced:
-            announcement = Order(self.name, custody.ownership.fence)
+        if not grants.announced:
+            announcement = Order(self.name, grants.ownership.fence)
             self.pending_actions.append(lambda process: process.send_order(announcement))
-        if not custody.may_act(self.lease, now):
+        if not grants.may_act(self.lease, now):
             return
-        request = custody.request_declaration(self.name, now)
-        for asker in custody.instances_to_query(now):
-            self.send(asker, request)
-        if custody.quarantine is not None:
-            heard = self.fleet.instances_heard_within(2.5, now)
-            for asker in set(custody.quarantine.undeclared()) - set(heard):
-                custody.quarantine.record_declaration(asker)
+        request = grants.request_declaration(self.name, now)
+        for requester in grants.instances_to_query(now):
+            self.send(requester, request)
+        if grants.quarantine is not None:
+            heard_instances = self.fleet.instances_heard_within(2.5, now)
+            for requester in set(grants.quarantine.undeclared()) - set(heard_instances):
+                grants.quarantine.record_declaration(requester)
         for decided in self.scheduler.decide(now):
             if isinstance(decided, Grant):
                 self.send_grant(decided.dispatch_id, decided.requester, now)
         bid = self.scheduler.best_bid(now)
         start = self.scheduler.start_load(bid.target, now) if bid else None
         if start is not None:
-            order = Order(self.name, custody.ownership.fence, start.victim, start.target)
+            order = Order(self.name, grants.ownership.fence, start.victim, start.target)
             self.pending_actions.append(lambda process: process.send_order(order))
 
-    def send_grant(self, ask: str, asker: str, now: float) -> None:
+    def send_grant(self, dispatch_id: str, requester: str, now: float) -> None:
         assert self.grants is not None
-        known = self.last_rounds.get(ask)
-        number, boot = (known.round, known.boot) if known else (0, "")
-        self.grants.record_grant(ask, asker, boot, now)
+        request = self.last_rounds.get(dispatch_id)
+        number, boot = (request.round, request.boot) if request else (0, "")
+        self.grants.record_grant(dispatch_id, requester, boot, now)
         fence = self.grants.ownership.fence
-        self.send(asker, Granted(ask, number, 0.0, 0.0, ENGINE, fence))
+        self.send(requester, Granted(dispatch_id, number, 0.0, 0.0, ENGINE, fence))
 
     def send_order(self, order: Order) -> None:
-        """Judges an order again and sends it; only an engine that checks may get it late."""
-        now, custody = self.now, self.grants
-        if self.world.mutation.recheck and not self.may_still_order(order, custody, now):
+        """Checks an order again and sends it; only an engine that checks tokens may get it late."""
+        now, grants = self.now, self.grants
+        if self.world.mutation.recheck and not self.may_still_order(order, grants, now):
             self.on_order_done(order, False)
             return
         if self.world.engine.checks_fence:
@@ -424,28 +425,28 @@
             return
         self.world.execute_order(order)
 
-    def may_still_order(self, order: Order, custody: EngineGrants | None, now: float) -> bool:
-        if custody is None or custody.ownership.fence != order.fence:
+    def may_still_order(self, order: Order, grants: EngineGrants | None, now: float) -> bool:
+        if grants is None or grants.ownership.fence != order.fence:
             return False
-        if not is_confirmed(custody.ownership, self.lease, now):
+        if not is_confirmed(grants.ownership, self.lease, now):
             return False
         if order.victim is None:
             return True
         enough = self.lease.remaining(now) >= MARGIN or not self.world.mutation.margin
         unused = self.scheduler.pin_count(order.victim) == 0
-        return enough and unused and custody.may_evict(order.victim, now)
+        return enough and unused and grants.may_evict(order.victim, now)
 
     def on_order_done(self, order: Order, done: bool) -> None:
-        custody = self.grants
-        if custody is None or custody.ownership.fence != order.fence:
+        grants = self.grants
+        if grants is None or grants.ownership.fence != order.fence:
             return
         if order.target is None:
-            custody.announced = custody.announced or done
+            grants.announced = grants.announced or done
             return
         self.scheduler.finish_load(order.target, done, self.now)
 
     def read_report(self) -> None:
-        """Takes in the engine's report; between two of these its view is old."""
+        """Reads the engine's report; until the next one, the view of the engine is out of date."""
         if self.grants is None or self.frozen:
             return
         rep, now = self.world.engine.report(), self.now
@@ -455,69 +456,72 @@
 
     # Requests -----------------------------------------------------------------------------------
 
-    def start_request(self, target: AdapterVersion, lasting: float) -> None:
-        name = f"{self.boot}.{next(self.world.numbers)}"
+    def start_request(self, target: AdapterVersion, duration: float) -> None:
+        dispatch_id = f"{self.boot}.{next(self.world.numbers)}"
         now = self.now
-        ask = GrantRequest(
-            name, self.name, ENGINE, target, "caller", 0, LONGEST, 10, 0, 0, self.boot
+        request = GrantRequest(
+            dispatch_id, self.name, ENGINE, target, "caller", 0, LONGEST, 10, 0, 0, self.boot
         )
-        self.waiting_requests[name] = (ask, now + LONGEST)
-        self.world.durations[name] = lasting
-        self.repeat_request(ask, now + LONGEST, now)
+        self.waiting_requests[dispatch_id] = (request, now + LONGEST)
+        self.world.durations[dispatch_id] = duration
+        self.repeat_request(request, now + LONGEST, now)
 
-    def repeat_request(self, ask: GrantRequest, deadline: float, now: float) -> None:
-        held = self.fleet.owners.get(ENGINE)
+    def repeat_request(self, request: GrantRequest, deadline: float, now: float) -> None:
+        ownership = self.fleet.owners.get(ENGINE)
         if now >= deadline:
-            self.waiting_requests.pop(ask.dispatch_id, None)
-            self.grant_requests.stop_waiting(ask.dispatch_id)
+            self.waiting_requests.pop(request.dispatch_id, None)
+            self.grant_requests.stop_waiting(request.dispatch_id)
             return
-        if held is None:
+        if ownership is None:
             return
         number = next(self.world.numbers)
-        self.grant_requests.note_sent(ask.dispatch_id, number, now)
-        again = msgspec.structs.replace(ask, round=number, remaining=deadline - now)
-        self.send(held.owner, again)
+        self.grant_requests.note_sent(request.dispatch_id, number, now)
+        again = msgspec.structs.replace(request, round=number, remaining=deadline - now)
+        self.send(ownership.owner, again)
 
-    def on_request_finished(self, ask: str) -> None:
-        if self.grant_requests.release(ask) is not None:
-            self.send_release(ask)
+    def on_request_finished(self, dispatch_id: str) -> None:
+        if self.grant_requests.release(dispatch_id) is not None:
+            self.send_release(dispatch_id)
 
-    def send_release(self, ask: str) -> None:
-        owner = self.fleet.owners.get(ENGINE)
-        if owner is not None:
-            self.send(owner.owner, Release(ask, self.name, ENGINE))
+    def send_release(self, dispatch_id: str) -> None:
+        ownership = self.fleet.owners.get(ENGINE)
+        if ownership is not None:
+            self.send(ownership.owner, Release(dispatch_id, self.name, ENGINE))
 
-    def begin_request(self, ask: GrantRequest, deadline: float) -> None:
-        """Sends a granted request to the engine."""
+    def begin_request(self, request: GrantRequest, deadline: float) -> None:
+        """Starts a granted request on the engine."""
         if self.world.mutation.recent_grants_only and not self.grant_requests.is_usable(
-            ask.dispatch_id, self.now
+            request.dispatch_id, self.now
         ):
-            self.on_request_finished(ask.dispatch_id)
+            self.on_request_finished(request.dispatch_id)
             return
-        if ask.target not in self.world.engine.loaded:
-            self.on_request_finished(ask.dispatch_id)
+        if request.target not in self.world.engine.loaded:
+            self.on_request_finished(request.dispatch_id)
             return
-        left = min(max(0.1, deadline - self.now), self.world.durations[ask.dispatch_id])
-        self.world.engine.running[ask.dispatch_id] = (ask.target, self.world.clock + left)
+        duration = min(max(0.1, deadline - self.now), self.world.durations[request.dispatch_id])
+        self.world.engine.running[request.dispatch_id] = (
+            request.target,
+            self.world.clock + duration,
+        )
 
     # Messages -----------------------------------------------------------------------------------
 
     def handle(self, message: Message) -> None:
         HANDLERS[type(message)](self, message)
 
-    def on_grant_request(self, ask: GrantRequest) -> None:
-        custody, now = self.grants, self.now
+    def on_grant_request(self, request: GrantRequest) -> None:
+        grants, now = self.grants, self.now
         if (
-            custody is None
-            or custody.has_ended(ask.dispatch_id)
-            or not custody.may_act(self.lease, now)
+            grants is None
+            or grants.has_ended(request.dispatch_id)
+            or not grants.may_act(self.lease, now)
         ):
             return
-        self.last_rounds[ask.dispatch_id] = ask
-        if self.scheduler.is_pinned(ask.dispatch_id):
-            self.send_grant(ask.dispatch_id, ask.requester, now)
+        self.last_rounds[request.dispatch_id] = request
+        if self.scheduler.is_pinned(request.dispatch_id):
+            self.send_grant(request.dispatch_id, request.requester, now)
             return
-        self.scheduler.submit(ask, now)
+        self.scheduler.submit(request, now)
 
     def on_granted(self, granted: Granted) -> None:
         waiting = self.waiting_requests.get(granted.dispatch_id)
@@ -527,10 +531,10 @@
             return
         if not self.grant_requests.may_use(granted, self.now):
             return
-        ask, deadline = self.waiting_requests.pop(granted.dispatch_id)
-        self.grant_requests.hold(ask, deadline, self.now)
+        request, deadline = self.waiting_requests.pop(granted.dispatch_id)
+        self.grant_requests.hold(request, deadline, self.now)
         self.grant_requests.stop_waiting(granted.dispatch_id)
-        self.pending_actions.append(lambda process: process.begin_request(ask, deadline))
+        self.pending_actions.append(lambda process: process.begin_request(request, deadline))
 
     def on_release(self, release: Release) -> None:
         if self.grants is not None:
@@ -545,13 +549,13 @@
     def on_held_pins(self, held: HeldPins) -> None:
         if self.grants is None:
             return
-        change = self.grants.apply_declaration(held)
-        for pin in change.adopt:
+        changes = self.grants.apply_declaration(held)
+        for pin in changes.adopt:
             self.scheduler.adopt_pin(
                 pin.dispatch_id, held.requester, pin.target, pin.remaining, self.now
             )
-        for ask in change.ended:
-            self.scheduler.release(ask, self.now)
+        for dispatch_id in changes.ended:
+            self.scheduler.release(dispatch_id, self.now)
 
     def on_support(self, support: Support) -> None:
         self.promises_given.give(support.record.instance, self.now)
@@ -559,9 +563,9 @@
 
     def on_promised(self, promised: Promised) -> None:
         self.promises_held.record_promise(promised.peer, promised.round)
-        asked_at = self.promises_held.supported_since(self.needed_peers, self.now)
-        if asked_at is not None:
-            self.lease.record_promises(asked_at, self.now)
+        supported_since = self.promises_held.supported_since(self.needed_peers, self.now)
+        if supported_since is not None:
+            self.lease.record_promises(supported_since, self.now)
 
 
 HANDLERS: Final[dict[type, Callable[[Process, Any], None]]] = {
--- a/tests/service_world.py
+++ b/tests/service_world.py
@@ -1,7 +1,7 @@
-"""A plain service before many instances, in virtual time: what callers get by how instances choose.
+"""Simulation of a plain service used by many instances: what callers get for a way of choosing.
 
-Endpoints run a few requests at once and queue some more; instances see each other's requests with
-the lag of heartbeats, those of other zones with another one on top.
+Time is virtual. Endpoints run a few requests at the same time and queue some more. Instances learn
+of each other's requests with the lag of heartbeats; other zones add a second such lag.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from wigeonarch_core.service_choice import ServiceState
 
 SLOTS, QUEUE = 6, 24
-WORK = 0.075  # Seconds that a request takes on the whole.
+WORK = 0.075  # Mean seconds that a request takes.
 OBJECTIVE = 0.3
 LAG = 0.55  # Seconds between heartbeats.
 INSTANCES, ZONES = 64, 3
@@ -26,108 +26,124 @@
 
 
 def least_busy(states: list[ServiceState], rng: random.Random) -> str | None:
-    """The endpoint that seems least busy, as if the news were fresh."""
+    """Returns the endpoint that seems least busy, as if the information were up to date."""
     return min(states, key=lambda s: ((s.running + 1) / s.slots, not s.same_zone)).endpoint
 
 
 @dataclass
 class Outcome:
-    """What callers got, in parts of what they asked for, and the part that went to other zones."""
+    """Shares of all requests: by result for the caller, and those sent to other zones."""
 
     in_time: float
     late: float
     refused: float
-    abroad: float
+    other_zone: float
 
 
 @dataclass
 class Service:
-    """The service, and what each instance knows of it."""
+    """The service, and what each instance knows of it.
+
+    Attributes:
+        load: Arriving requests, as a share of what the endpoints can serve.
+        choose: Chooses the endpoint of a request.
+        share: Returns the share of requests to send, by the number running at an endpoint.
+        endpoints: Number of endpoints.
+        slow: Factor by which requests take longer at the first endpoint.
+        seed: Seed of the random numbers.
+        counts: Requests by result, and those sent to other zones.
+    """
 
     load: float
     choose: Choose
     share: Share = lambda running: 1.0
     endpoints: int = 2
-    slow: float = 1.0  # How many times as long the first endpoint takes.
+    slow: float = 1.0
     seed: int = 1
     counts: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        self.ends = [[0.0] * SLOTS for _ in range(self.endpoints)]
-        self.under: list[list[float]] = [[] for _ in range(self.endpoints)]
+        self.slot_free_at = [[0.0] * SLOTS for _ in range(self.endpoints)]
+        self.end_times: list[list[float]] = [[] for _ in range(self.endpoints)]
         self.own = [[0] * self.endpoints for _ in range(INSTANCES)]
-        self.told = [[0] * self.endpoints for _ in range(INSTANCES)]
+        self.reported = [[0] * self.endpoints for _ in range(INSTANCES)]
         self.in_zone = [[0] * self.endpoints for _ in range(ZONES)]
-        self.abroad = [[0] * self.endpoints for _ in range(ZONES)]
-        self.counts = {"in_time": 0, "late": 0, "refused": 0, "abroad": 0}
+        self.other_zone_view = [[0] * self.endpoints for _ in range(ZONES)]
+        self.counts = {"in_time": 0, "late": 0, "refused": 0, "other_zone": 0}
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.number = 0
 
-    def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
+    def schedule(self, when: float, action: Callable[..., None], *args: Any) -> None:
         self.number += 1
-        heapq.heappush(self.events, (when, self.number, what, args))
+        heapq.heappush(self.events, (when, self.number, action, args))
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         for instance in range(INSTANCES):
-            self.at(self.rng.random() * LAG, self.beat, instance)
+            self.schedule(self.rng.random() * LAG, self.heartbeat, instance)
         for zone in range(ZONES):
-            self.at(self.rng.random() * LAG, self.tell_abroad, zone)
-        self.at(0.0, self.request)
+            self.schedule(self.rng.random() * LAG, self.publish_zone, zone)
+        self.schedule(0.0, self.arrive)
         self.now = 0.0
         while self.events and self.events[0][0] <= SECONDS:
-            self.now, _, what, args = heapq.heappop(self.events)
-            what(*args)
-        asked = sum(self.counts[name] for name in ("in_time", "late", "refused"))
-        return Outcome(**{name: count / asked for name, count in self.counts.items()})
+            self.now, _, action, args = heapq.heappop(self.events)
+            action(*args)
+        total = sum(self.counts[name] for name in ("in_time", "late", "refused"))
+        return Outcome(**{name: count / total for name, count in self.counts.items()})
 
-    def beat(self, instance: int) -> None:
+    def heartbeat(self, instance: int) -> None:
         zone = self.in_zone[instance % ZONES]
-        for place, own in enumerate(self.own[instance]):
-            zone[place] += own - self.told[instance][place]
-            self.told[instance][place] = own
-        self.at(self.now + LAG, self.beat, instance)
+        for endpoint, own in enumerate(self.own[instance]):
+            zone[endpoint] += own - self.reported[instance][endpoint]
+            self.reported[instance][endpoint] = own
+        self.schedule(self.now + LAG, self.heartbeat, instance)
 
-    def tell_abroad(self, zone: int) -> None:
-        self.abroad[zone] = list(self.in_zone[zone])
-        self.at(self.now + LAG, self.tell_abroad, zone)
+    def publish_zone(self, zone: int) -> None:
+        self.other_zone_view[zone] = list(self.in_zone[zone])
+        self.schedule(self.now + LAG, self.publish_zone, zone)
 
-    def running(self, instance: int, place: int) -> int:
+    def running(self, instance: int, endpoint: int) -> int:
         zone = instance % ZONES
-        others = sum(self.abroad[other][place] for other in range(ZONES) if other != zone)
-        seen = self.in_zone[zone][place] - self.told[instance][place]
-        return self.own[instance][place] + seen + others
+        others = sum(
+            self.other_zone_view[other][endpoint] for other in range(ZONES) if other != zone
+        )
+        same_zone = self.in_zone[zone][endpoint] - self.reported[instance][endpoint]
+        return self.own[instance][endpoint] + same_zone + others
 
-    def request(self) -> None:
+    def arrive(self) -> None:
         rate = self.load * self.endpoints * SLOTS / WORK
-        self.at(self.now + self.rng.expovariate(rate), self.request)
+        self.schedule(self.now + self.rng.expovariate(rate), self.arrive)
         instance = self.rng.randrange(INSTANCES)
         states = [
             ServiceState(
-                str(place), place == instance % ZONES, SLOTS, self.running(instance, place), 0.0
+                str(endpoint),
+                endpoint == instance % ZONES,
+                SLOTS,
+                self.running(instance, endpoint),
+                0.0,
             )
-            for place in range(self.endpoints)
+            for endpoint in range(self.endpoints)
         ]
         chosen = self.choose(states, self.rng)
         assert chosen is not None
         self.send(instance, int(chosen))
 
-    def send(self, instance: int, place: int) -> None:
-        under = self.under[place]
-        while under and under[0] <= self.now:
-            heapq.heappop(under)
-        refused = self.rng.random() >= self.share(self.running(instance, place))
-        if refused or len(under) >= SLOTS + QUEUE:
+    def send(self, instance: int, endpoint: int) -> None:
+        running = self.end_times[endpoint]
+        while running and running[0] <= self.now:
+            heapq.heappop(running)
+        refused = self.rng.random() >= self.share(self.running(instance, endpoint))
+        if refused or len(running) >= SLOTS + QUEUE:
             self.counts["refused"] += 1
             return
-        work = WORK * self.rng.lognormvariate(-0.11, 0.47) * (1.0 if place else self.slow)
-        end = max(self.now, self.ends[place][0]) + work
-        heapq.heapreplace(self.ends[place], end)
-        heapq.heappush(under, end)
-        self.own[instance][place] += 1
-        self.at(end, self.ended, instance, place)
+        work = WORK * self.rng.lognormvariate(-0.11, 0.47) * (1.0 if endpoint else self.slow)
+        end = max(self.now, self.slot_free_at[endpoint][0]) + work
+        heapq.heapreplace(self.slot_free_at[endpoint], end)
+        heapq.heappush(running, end)
+        self.own[instance][endpoint] += 1
+        self.schedule(end, self.finish, instance, endpoint)
         self.counts["in_time" if end - self.now <= OBJECTIVE else "late"] += 1
-        self.counts["abroad"] += place != instance % ZONES
+        self.counts["other_zone"] += endpoint != instance % ZONES
 
-    def ended(self, instance: int, place: int) -> None:
-        self.own[instance][place] -= 1
+    def finish(self, instance: int, endpoint: int) -> None:
+        self.own[instance][endpoint] -= 1
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue aggregate: verdicts on changes, pages, snapshots and routing."""
+"""The catalogue: results of changes, pages, snapshots and routing."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 SERVICE = Service("drafting", ServiceKind.MODEL, "base")
 BLEND = Adapter("drafting", "blend")
-# A name that begins like another one's must not count as belonging to it.
+# Its name begins like another adapter's, but the entries below that one must not count as its own.
 BLEND_2 = Adapter("drafting", "blend-2")
 V1 = Version("drafting", "blend", "v1")
 RULE = Rule("drafting", "blend", (Split("v1", 1),))
@@ -31,17 +31,17 @@
 V1_2 = Version("drafting", "blend-2", "v1")
 
 
-def filled(*mutations: Mutation) -> Catalogue:
-    """Returns a catalogue after changes 1, 2, ..."""
+def catalogue_after(*mutations: Mutation) -> Catalogue:
+    """Returns a catalogue after the given changes, numbered from 1."""
     catalogue = Catalogue()
     for number, mutation in enumerate(mutations, 1):
         catalogue.apply(number, Change(f"op-{number}", mutation))
     return catalogue
 
 
-def whole() -> Catalogue:
+def full_catalogue() -> Catalogue:
     entries = (SERVICE, BLEND, V1, RULE, BLEND_2, V1_2, RULE_2)
-    return filled(*(Put(entry, 0) for entry in entries))
+    return catalogue_after(*(Put(entry, 0) for entry in entries))
 
 
 @pytest.mark.parametrize(
@@ -62,16 +62,16 @@
         (Delete(key_of(SERVICE), 1), Verdict.INVALID, 1),
     ],
 )
-def test_verdicts(mutation: Mutation, verdict: Verdict, version: int) -> None:
-    catalogue = whole()
+def test_results_of_changes(mutation: Mutation, verdict: Verdict, version: int) -> None:
+    catalogue = full_catalogue()
     assert catalogue.evaluate(8, mutation).verdict is verdict
     result = catalogue.apply(8, Change("op-8", mutation))
     assert (result.verdict, result.version) == (verdict, version)
     assert catalogue.applied == 8
 
 
-def test_a_version_can_go_once_no_rule_needs_it() -> None:
-    catalogue = whole()
+def test_version_can_be_deleted_once_no_rule_needs_it() -> None:
+    catalogue = full_catalogue()
     for number, mutation in enumerate(
         (Delete(key_of(RULE), 4), Delete(key_of(V1), 3), Delete(key_of(BLEND), 2)), 8
     ):
@@ -82,15 +82,15 @@
     )
 
 
-def test_a_repeated_operation_finds_its_first_result() -> None:
-    catalogue = whole()
+def test_repeated_operation_gets_its_first_result() -> None:
+    catalogue = full_catalogue()
     first = catalogue.result_of("op-2")
     assert catalogue.apply(8, Change("op-2", Put(BLEND, 0))) == first
     assert (catalogue.applied, catalogue.last) == (8, "op-2")
 
 
-def test_operations_are_remembered_for_a_bounded_time() -> None:
-    catalogue = whole()
+def test_only_the_last_results_are_remembered() -> None:
+    catalogue = full_catalogue()
     for number in range(8, MAX_REMEMBERED_RESULTS + 9):
         catalogue.apply(number, Change(f"op-{number}", Put(SERVICE, 0)))
     assert catalogue.result_of("op-8") is None
@@ -108,16 +108,18 @@
     ],
 )
 def test_pages(kind: EntryKind, after: str, limit: int, names: list[str]) -> None:
-    assert [key_of(stored.entry).name for stored in whole().list(kind, after, limit)] == names
+    assert [
+        key_of(stored.entry).name for stored in full_catalogue().list(kind, after, limit)
+    ] == names
 
 
-def test_restore_never_goes_back() -> None:
-    full, old = whole(), filled(Put(SERVICE, 0))
-    raw = msgspec.msgpack.encode(full.snapshot())
-    assert old.restore(msgspec.msgpack.decode(raw, type=Snapshot))
-    assert old.snapshot() == full.snapshot()
-    assert not full.restore(filled(Put(SERVICE, 0)).snapshot())
-    assert full.applied == 7
+def test_restore_ignores_an_older_snapshot() -> None:
+    newer, older = full_catalogue(), catalogue_after(Put(SERVICE, 0))
+    raw = msgspec.msgpack.encode(newer.snapshot())
+    assert older.restore(msgspec.msgpack.decode(raw, type=Snapshot))
+    assert older.snapshot() == newer.snapshot()
+    assert not newer.restore(catalogue_after(Put(SERVICE, 0)).snapshot())
+    assert newer.applied == 7
 
 
 @pytest.mark.parametrize(
@@ -133,7 +135,7 @@
     ],
 )
 def test_resolve(model: ModelName, draw: float, resolved: object) -> None:
-    catalogue = whole()
+    catalogue = full_catalogue()
     catalogue.apply(8, Change("op-8", Put(Version("drafting", "blend", "v2"), 0)))
     split = Rule("drafting", "blend", (Split("v1", 3), Split("v2", 1)))
     catalogue.apply(9, Change("op-9", Put(split, 4)))
--- a/tests/test_changefeed.py
+++ b/tests/test_changefeed.py
@@ -1,4 +1,4 @@
-"""A reading of the log while a watch brings more of it."""
+"""Reads of the change log while a watch brings more changes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class StubPlatform:
-    """A log of `length` changes; something happens while a page of it is on its way."""
+    """A log of `length` changes, with a callback that runs while a page of it is being fetched."""
 
     def __init__(self, length: int, meanwhile: Callable[[], None]) -> None:
         self._length = length
@@ -44,29 +44,29 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "listed", "brought", "back"),
+    ("applied", "listed", "watched", "rolled_back"),
     [
         (3, 3, 0, False),
-        (3, 3, 1, False),  # The watch is ahead of the reading by one, and by several.
+        (3, 3, 1, False),  # The watch is one change ahead of the read, then several.
         (3, 3, 4, False),
         (3, 5, 2, False),
         (3, 2, 0, True),
         (3, 2, 1, True),
     ],
 )
-async def test_a_reading_is_compared_with_what_it_began_from(
-    known: int, listed: int, brought: int, back: bool
+async def test_log_is_compared_with_the_replica_as_it_was_when_the_read_began(
+    applied: int, listed: int, watched: int, rolled_back: bool
 ) -> None:
     replica = Replica()
 
-    def bring() -> None:
-        for number in range(known + 1, known + brought + 1):
+    def deliver_watched() -> None:
+        for number in range(applied + 1, applied + watched + 1):
             feed.add(number, change(number))
 
-    stub = StubPlatform(listed, bring)
+    stub = StubPlatform(listed, deliver_watched)
     feed = ChangeFeed(cast(PlatformClient, stub), replica, 1.0, lambda: False, Metrics())
-    for number in range(1, known + 1):
+    for number in range(1, applied + 1):
         feed.add(number, change(number))
     await feed.catch_up()
-    assert replica.rolled_back is back
-    assert replica.catalogue.applied == max(known + brought, 0 if back else listed)
+    assert replica.rolled_back is rolled_back
+    assert replica.catalogue.applied == max(applied + watched, 0 if rolled_back else listed)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Rules of the configuration: who may serve, when a change is accepted, what the log may do."""
+"""Rules of the configuration: who may serve, when a change is accepted, how the log may change."""
 
 from __future__ import annotations
 
@@ -43,47 +43,54 @@
     others_known=True,
     recent_peers=(),
 )
-ADRIFT = ZonePeer("b", 20.0, leased=False, reaches=False, applied=7)
-# The lease ended at 15, the platform was tried at 16, and a peer in the same place is heard.
-CUT = replace(LEASED, leased=False, lapsed_at=15.0, last_attempt=16.0, recent_peers=(ADRIFT,))
+CUT_OFF_PEER = ZonePeer("b", 20.0, leased=False, reaches=False, applied=7)
+# The lease lapsed at 15, an attempt to read the log began at 16, and a peer in the same state is
+# heard.
+CUT_OFF = replace(
+    LEASED, leased=False, lapsed_at=15.0, last_attempt=16.0, recent_peers=(CUT_OFF_PEER,)
+)
 
 
 @pytest.mark.parametrize(
-    ("at", "reason"),
+    ("state", "reason"),
     [
         (LEASED, None),
         (replace(LEASED, has_configuration=False), Reason.NO_CONFIGURATION),
-        # A log read before the lease began may lack what was accepted in between.
+        # A log read before the lease period began may lack changes accepted in between.
         (replace(LEASED, caught_up_at=9.9), Reason.NOT_CAUGHT_UP),
         (replace(LEASED, caught_up_at=None), Reason.NOT_CAUGHT_UP),
-        (CUT, None),
-        # Paused: by the clock the lease has lapsed, and nothing was tried since.
-        (replace(CUT, last_attempt=14.9), Reason.NOT_CAUGHT_UP),
-        (replace(CUT, last_attempt=None), Reason.NOT_CAUGHT_UP),
-        # A peer has more in force.
-        (replace(CUT, newest=8), Reason.NOT_CAUGHT_UP),
-        # Cut off alone.
-        (replace(CUT, recent_peers=()), Reason.CUT_OFF),
-        # The only instance of its zone, which the list names.
-        (replace(CUT, recent_peers=(), others_known=False), None),
-        # The same one, but never counted by anybody.
-        (replace(CUT, recent_peers=(), others_known=False, ever_leased=False), Reason.CUT_OFF),
-        # New in a zone that is cut off.
-        (replace(CUT, ever_leased=False, caught_up_at=None), None),
-        (replace(CUT, recent_peers=(ADRIFT, replace(ADRIFT, leased=True))), None),
+        (CUT_OFF, None),
+        # Suspended: the lease has lapsed by the clock, and the platform was not tried since.
+        (replace(CUT_OFF, last_attempt=14.9), Reason.NOT_CAUGHT_UP),
+        (replace(CUT_OFF, last_attempt=None), Reason.NOT_CAUGHT_UP),
+        # A peer has applied a newer change.
+        (replace(CUT_OFF, newest=8), Reason.NOT_CAUGHT_UP),
+        # It hears no other instance, so it may be cut off alone.
+        (replace(CUT_OFF, recent_peers=()), Reason.CUT_OFF),
+        # The only instance of its zone; the list names it.
+        (replace(CUT_OFF, recent_peers=(), others_known=False), None),
+        # The same, but it never had a lease, so no instance counts it.
+        (replace(CUT_OFF, recent_peers=(), others_known=False, ever_leased=False), Reason.CUT_OFF),
+        # It joined a zone that is cut off.
+        (replace(CUT_OFF, ever_leased=False, caught_up_at=None), None),
+        (replace(CUT_OFF, recent_peers=(CUT_OFF_PEER, replace(CUT_OFF_PEER, leased=True))), None),
         (
             replace(
-                CUT, recent_peers=(ADRIFT, replace(ADRIFT, name="c", leased=True, reaches=True))
+                CUT_OFF,
+                recent_peers=(
+                    CUT_OFF_PEER,
+                    replace(CUT_OFF_PEER, name="c", leased=True, reaches=True),
+                ),
             ),
             Reason.NOT_LEASED,
         ),
     ],
 )
-def test_right_to_serve(at: ServingState, reason: Reason | None) -> None:
-    assert refusal_reason(at) is reason
+def test_right_to_serve(state: ServingState, reason: Reason | None) -> None:
+    assert refusal_reason(state) is reason
 
 
-def test_lease_period_begins_anew_after_a_gap() -> None:
+def test_new_lease_period_begins_after_a_gap() -> None:
     period = LeasePeriod(6.0, 1.0, 0.0)
     assert not period.is_valid(0.0)
     period.record_renewal(1.0, 1.5)
@@ -95,27 +102,31 @@
     assert (period.since, period.last_ended_at(9.2)) == (9.1, 9.0)
 
 
-def test_reach_settles_without_a_gap() -> None:
-    reach = PlatformReachability(bound=2.0, settle=3.5)
-    assert not reach.is_reachable(0.0)
+def test_reachability_settles_only_without_a_gap() -> None:
+    reachability = PlatformReachability(bound=2.0, settle=3.5)
+    assert not reachability.is_reachable(0.0)
     for now in (0.0, 1.0, 2.0, 3.0, 4.0):
-        reach.record_answer(now)
-    assert (reach.is_settled(3.4), reach.is_settled(4.0), reach.is_settled(6.1)) == (
+        reachability.record_answer(now)
+    assert (
+        reachability.is_settled(3.4),
+        reachability.is_settled(4.0),
+        reachability.is_settled(6.1),
+    ) == (
         False,
         True,
         False,
     )
-    reach.record_answer(6.1)
-    assert (reach.is_reachable(6.1), reach.is_settled(6.2)) == (True, False)
+    reachability.record_answer(6.1)
+    assert (reachability.is_reachable(6.1), reachability.is_settled(6.2)) == (True, False)
 
 
 def test_zone_view_remembers_the_newest_change() -> None:
     view = ZoneView(2.5)
-    view.record(replace(ADRIFT, as_of=1.0, applied=9))
-    view.record(replace(ADRIFT, as_of=2.0, applied=8))
+    view.record(replace(CUT_OFF_PEER, as_of=1.0, applied=9))
+    view.record(replace(CUT_OFF_PEER, as_of=2.0, applied=8))
     assert (view.newest, view.recent_peers(4.0), view.recent_peers(5.0)) == (
         9,
-        (replace(ADRIFT, as_of=2.0, applied=8),),
+        (replace(CUT_OFF_PEER, as_of=2.0, applied=8),),
         (),
     )
 
@@ -127,26 +138,28 @@
 
 
 @pytest.mark.parametrize(
-    ("members", "missing"),
+    ("members", "lagging"),
     [
         ((A, B), ()),
         ((A, replace(B, applied=6)), ("b",)),
-        # Not yet listed, but leased.
+        # It has a lease but is not on the list yet.
         ((A, replace(B, applied=6, listed=False)), ("b",)),
-        # A zone without a lease that the list still names: cut off, and serving.
+        # Without a lease but on the list: its zone may be cut off and still serving.
         ((A, replace(GONE, name="b")), ("b",)),
         ((A, replace(GONE, listed=False)), ()),
-        # One without a lease in a zone that knows of the platform.
+        # Without a lease, in a zone that is covered.
         ((A, B, GONE), ()),
-        # Its neighbour reaches the platform again, but not for long: not all were told.
+        # Its neighbour has not reached the platform for long enough to have told all of the zone.
         ((A, replace(B, settled=False), GONE), ("b2",)),
         ((A, replace(B, applied=6), GONE), ("b", "b2")),
         ((A, replace(B, leased=False), GONE), ("b2",)),
     ],
 )
-def test_acceptance(members: tuple[Member, ...], missing: tuple[str, ...]) -> None:
-    found = find_lagging(7, members)
-    assert found == tuple(LaggingInstance("zone-b", name) for name in missing)
+def test_which_instances_keep_a_change_from_being_accepted(
+    members: tuple[Member, ...], lagging: tuple[str, ...]
+) -> None:
+    result = find_lagging(7, members)
+    assert result == tuple(LaggingInstance("zone-b", name) for name in lagging)
 
 
 def change(number: int) -> Change:
@@ -161,7 +174,7 @@
 
 
 @pytest.mark.parametrize(
-    ("applied", "first", "snapshot", "tail"),
+    ("applied", "first", "snapshot", "comparison"),
     [
         (0, None, 0, LogComparison.SAME),
         (0, (1, change(1)), 0, LogComparison.SAME),
@@ -172,25 +185,25 @@
         (3, (4, change(4)), 5, LogComparison.TRIMMED),
         (3, None, 0, LogComparison.ROLLED_BACK),
         (3, None, 2, LogComparison.ROLLED_BACK),
-        # Another history: the number was given away again after the store went back.
+        # Another history: after the store went back, the number was assigned to another change.
         (3, (3, change(9)), 5, LogComparison.ROLLED_BACK),
     ],
 )
-def test_tail_of_the_log(
-    applied: int, first: tuple[int, Change] | None, snapshot: int, tail: LogComparison
+def test_comparison_of_the_log_with_the_replica(
+    applied: int, first: tuple[int, Change] | None, snapshot: int, comparison: LogComparison
 ) -> None:
-    assert compare_log(position_of(catalogue(applied)), first, snapshot) is tail
+    assert compare_log(position_of(catalogue(applied)), first, snapshot) is comparison
 
 
 @pytest.mark.parametrize("order", [(1, 2, 3, 4), (4, 3, 2, 1), (2, 2, 1, 1, 4, 3, 2)])
-def test_elements_are_applied_in_order(order: tuple[int, ...]) -> None:
+def test_changes_are_applied_in_order(order: tuple[int, ...]) -> None:
     replica = Replica()
     numbers = [result.number for number in order for result in replica.add(number, change(number))]
     assert numbers == [1, 2, 3, 4]
     assert not replica.has_gap
 
 
-def test_a_copy_stays_as_it_is_when_the_log_went_back() -> None:
+def test_replica_stays_as_it_is_after_the_log_went_back() -> None:
     replica = Replica()
     replica.add(1, change(1))
     assert replica.record_comparison(LogComparison.ROLLED_BACK)
@@ -201,7 +214,7 @@
     assert [result.number for result in replica.add(2, change(2))] == [2]
 
 
-def test_a_snapshot_meets_early_elements() -> None:
+def test_snapshot_makes_early_changes_applicable() -> None:
     replica = Replica()
     replica.add(6, change(6))
     replica.add(3, change(3))
@@ -209,17 +222,17 @@
     assert (replica.catalogue.applied, replica.has_gap) == (6, False)
 
 
-def test_snapshots_are_split_and_put_together() -> None:
-    full = catalogue(1)
+def test_split_snapshot_is_decoded_and_a_damaged_one_is_not() -> None:
+    source = catalogue(1)
     for number in range(2, 3000):
-        full.apply(number, Change(f"op-{number}", Put(Adapter("s1", f"a{number}"), 0)))
-    data = b"".join(encode(full.snapshot()))
-    assert decode(b"".join(split(data))) == full.snapshot()
+        source.apply(number, Change(f"op-{number}", Put(Adapter("s1", f"a{number}"), 0)))
+    data = b"".join(encode(source.snapshot()))
+    assert decode(b"".join(split(data))) == source.snapshot()
     assert decode(data[:-10]) is None
     assert decode(b"") is None
 
 
-def test_head_of_the_snapshots() -> None:
+def test_snapshot_head_keeps_the_last_two() -> None:
     head: SnapshotHead | None = None
     assert (newest_number(head), is_due(head, 9, 10), is_due(head, 10, 10)) == (0, False, True)
     for number in (10, 20, 30):
--- a/tests/test_content_key.py
+++ b/tests/test_content_key.py
@@ -1,16 +1,16 @@
-"""Attempts of one request have one key, and others have other keys."""
+"""Content keys: equal for the attempts of one request, different for other requests."""
 
 from __future__ import annotations
 
 import pytest
 from wigeonarch_core.content_key import content_key
 
-ASKED = ("POST", "shop.example", "/write/a?b=c", b"body")
+REQUEST = ("POST", "shop.example", "/write/a?b=c", b"body")
 
 
-def test_two_attempts_of_one_request_have_one_key() -> None:
+def test_attempts_of_one_request_have_the_same_key() -> None:
     again = ("POST", "Shop.Example", "/write/a?b=c", b"body")
-    assert content_key(*again) == content_key(*ASKED)
+    assert content_key(*again) == content_key(*REQUEST)
 
 
 @pytest.mark.parametrize(
@@ -25,5 +25,5 @@
         ("POSTs", "hop.example", "/write/a?b=c", b"body"),
     ],
 )
-def test_another_request_has_another_key(other: tuple[str, str, str, bytes]) -> None:
-    assert content_key(*other) != content_key(*ASKED)
+def test_different_requests_have_different_keys(other: tuple[str, str, str, bytes]) -> None:
+    assert content_key(*other) != content_key(*REQUEST)
--- a/tests/test_engine_choice.py
+++ b/tests/test_engine_choice.py
@@ -1,4 +1,4 @@
-"""Which engine runs a generation."""
+"""Choice of the engine for a generation, and of the endpoint for a plain request."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         ([COLD, WARM], "warm", True),
         ([COLD, COMING], "coming", True),
         ([replace(HOLDS, same_zone=False), COLD], "holds", False),
-        # A queue of half a second before the copy does not pay for a fetch, one of a second does.
+        # Half a second of queue at the loaded copy is cheaper than a cold load, a second is not.
         ([replace(HOLDS, waiting_tokens=9_000.0), COLD], "holds", False),
         ([replace(HOLDS, waiting_tokens=19_000.0), COLD], "cold", True),
         ([replace(HOLDS, waiting_tokens=9_000.0), WARM], "warm", True),
@@ -42,13 +42,13 @@
         ([], None, False),
     ],
 )
-def test_choice(states: list[EngineState], endpoint: str | None, load: bool) -> None:
+def test_choice_of_an_engine(states: list[EngineState], endpoint: str | None, load: bool) -> None:
     choice = choose_engine(states, 1_000)
     assert (choice.endpoint if choice else None) == endpoint
     assert (choice.load if choice else False) is load
 
 
-def test_chance_spreads_requests_over_engines_that_are_about_as_good() -> None:
+def test_randomness_spreads_requests_over_comparable_engines() -> None:
     twins = [replace(HOLDS, endpoint=name) for name in "abc"]
     busy = replace(HOLDS, endpoint="busy", waiting_tokens=19_000.0)
     draws = iter([0.03, 0.01, 0.02, 0.0])
@@ -66,33 +66,33 @@
         replace(HOLDS, endpoint="coming", holds=False, loading_left=0.1),
     ],
 )
-def test_chance_buys_no_load_and_no_way_between_zones(other: EngineState) -> None:
+def test_randomness_causes_no_load_and_no_zone_crossing(other: EngineState) -> None:
     draws = iter([5.0, 0.0])
     choice = choose_engine([HOLDS, other], 100, lambda: next(draws))
     assert choice is not None
     assert choice.endpoint == "holds"
 
 
-DEAF = replace(COLD, endpoint="asked", loadable=False)
-ASKED = replace(COLD, endpoint="asked")
+CANNOT_LOAD = replace(COLD, endpoint="asked", loadable=False)
+CAN_LOAD = replace(COLD, endpoint="asked")
 
 
 @pytest.mark.parametrize(
-    ("states", "asked", "patient", "endpoint"),
+    ("states", "loading_engine", "keep_waiting", "endpoint"),
     [
-        ([ASKED, WARM], "", False, "warm"),
-        ([ASKED, WARM], "asked", True, "asked"),
-        ([ASKED, WARM], "asked", False, "warm"),
-        ([ASKED, HOLDS], "asked", True, "holds"),
-        ([ASKED], "asked", False, "asked"),
-        ([DEAF, COLD], "asked", True, "cold"),  # Its holder is not heard any more.
-        ([DEAF], "asked", True, None),
+        ([CAN_LOAD, WARM], "", False, "warm"),
+        ([CAN_LOAD, WARM], "asked", True, "asked"),
+        ([CAN_LOAD, WARM], "asked", False, "warm"),
+        ([CAN_LOAD, HOLDS], "asked", True, "holds"),
+        ([CAN_LOAD], "asked", False, "asked"),
+        ([CANNOT_LOAD, COLD], "asked", True, "cold"),  # Its owner is unreachable.
+        ([CANNOT_LOAD], "asked", True, None),
     ],
 )
-def test_a_request_stays_with_the_engine_it_asked_while_that_can_load(
-    states: list[EngineState], asked: str, patient: bool, endpoint: str | None
+def test_a_request_waits_for_the_engine_that_loads_for_it(
+    states: list[EngineState], loading_engine: str, keep_waiting: bool, endpoint: str | None
 ) -> None:
-    choice = choose_engine_after_load_request(states, 1_000, asked, patient)
+    choice = choose_engine_after_load_request(states, 1_000, loading_engine, keep_waiting)
     assert (choice.endpoint if choice else None) == endpoint
 
 
--- a/tests/test_engine_latency.py
+++ b/tests/test_engine_latency.py
@@ -1,4 +1,4 @@
-"""How slow engines are believed to be, from their first tokens."""
+"""Latency of engines, learned from their first tokens."""
 
 from __future__ import annotations
 
@@ -8,65 +8,67 @@
 from wigeonarch_core.engine_choice import EngineState, choose_engine, expected_first_token
 from wigeonarch_core.engine_latency import EVIDENCE_HALF_LIFE, EngineLatency
 
-EXPECTED = 0.05  # Seconds until first tokens at a slowness of 1.
+EXPECTED = 0.05  # Expected seconds until a first token.
 PAUSE = 0.1  # Seconds between sends.
 
 
-def fed(paces: EngineLatency, endpoint: str, slowness: float, answers: int, now: float) -> float:
-    """Plays answers of an engine one after the other; returns the time after them."""
-    for _ in range(answers):
-        wait = paces.record_send(endpoint, EXPECTED, now)
+def record_first_tokens(
+    latency: EngineLatency, endpoint: str, slowness: float, count: int, now: float
+) -> float:
+    """Records first tokens of an engine, one after another; returns the time after them."""
+    for _ in range(count):
+        wait = latency.record_send(endpoint, EXPECTED, now)
         now += slowness * EXPECTED
-        paces.record_first_token(wait, now)
+        latency.record_first_token(wait, now)
         now += PAUSE
     return now
 
 
 @pytest.mark.parametrize("slowness", [0.4, 1.0, 3.0, 6.0])
-def test_the_slowness_of_an_engine_is_learned(slowness: float) -> None:
-    paces = EngineLatency()
-    now = fed(paces, "e", slowness, 20, 100.0)
-    assert paces.latency_ratio("e", now) == pytest.approx(slowness, rel=0.3)
+def test_the_latency_ratio_of_an_engine_is_learned(slowness: float) -> None:
+    latency = EngineLatency()
+    now = record_first_tokens(latency, "e", slowness, 20, 100.0)
+    assert latency.latency_ratio("e", now) == pytest.approx(slowness, rel=0.3)
 
 
-def test_few_answers_tell_a_slow_engine_from_its_peers() -> None:
-    paces = EngineLatency()
-    now = max(fed(paces, name, 1.0, 10, 100.0) for name in ("a", "b"))
-    now = fed(paces, "b", 5.0, 2, now)
-    assert paces.slowness("b", now) > 2.0 * paces.slowness("a", now)
+def test_two_first_tokens_reveal_a_slow_engine() -> None:
+    latency = EngineLatency()
+    now = max(record_first_tokens(latency, name, 1.0, 10, 100.0) for name in ("a", "b"))
+    now = record_first_tokens(latency, "b", 5.0, 2, now)
+    assert latency.slowness("b", now) > 2.0 * latency.slowness("a", now)
 
 
-def test_a_stalled_engine_is_noticed_without_an_answer() -> None:
-    paces = EngineLatency()
-    now = fed(paces, "e", 1.0, 10, 100.0)
-    wait = paces.record_send("e", EXPECTED, now)
-    assert paces.latency_ratio("e", now + EXPECTED) < 1.2
-    assert paces.latency_ratio("e", now + 10 * EXPECTED) > 2.0
-    paces.stop_waiting(wait)
-    assert paces.latency_ratio("e", now + 10 * EXPECTED) < 1.2
+def test_a_stalled_engine_is_noticed_without_a_first_token() -> None:
+    latency = EngineLatency()
+    now = record_first_tokens(latency, "e", 1.0, 10, 100.0)
+    wait = latency.record_send("e", EXPECTED, now)
+    assert latency.latency_ratio("e", now + EXPECTED) < 1.2
+    assert latency.latency_ratio("e", now + 10 * EXPECTED) > 2.0
+    latency.stop_waiting(wait)
+    assert latency.latency_ratio("e", now + 10 * EXPECTED) < 1.2
 
 
-def test_evidence_fades_so_an_engine_is_tried_again() -> None:
-    paces = EngineLatency()
-    now = fed(paces, "e", 6.0, 5, 100.0)
-    before = paces.latency_ratio("e", now)
-    assert 1.0 < paces.latency_ratio("e", now + 3 * EVIDENCE_HALF_LIFE) < before / 2
+def test_evidence_fades_so_that_a_slow_engine_is_tried_again() -> None:
+    latency = EngineLatency()
+    now = record_first_tokens(latency, "e", 6.0, 5, 100.0)
+    before = latency.latency_ratio("e", now)
+    assert 1.0 < latency.latency_ratio("e", now + 3 * EVIDENCE_HALF_LIFE) < before / 2
 
 
-def test_what_is_usual_is_expected_of_an_engine_that_is_new() -> None:
-    paces = EngineLatency()
+def test_a_new_engine_starts_at_the_baseline() -> None:
+    latency = EngineLatency()
     now = 100.0
     for _ in range(40):
-        now = max(fed(paces, name, 2.0, 5, now) for name in "abc")
-    assert paces.latency_ratio("new", now) == pytest.approx(2.0, rel=0.3)
+        now = max(record_first_tokens(latency, name, 2.0, 5, now) for name in "abc")
+    assert latency.latency_ratio("new", now) == pytest.approx(2.0, rel=0.3)
 
 
-def test_an_engine_that_started_again_has_no_evidence() -> None:
-    paces = EngineLatency()
-    now = fed(paces, "e", 6.0, 5, 100.0)
-    paces.record_send("e", EXPECTED, now)
-    paces.forget("e")
-    assert paces.latency_ratio("e", now + 5.0) < 1.5
+def test_a_restarted_engine_has_no_evidence() -> None:
+    latency = EngineLatency()
+    now = record_first_tokens(latency, "e", 6.0, 5, 100.0)
+    latency.record_send("e", EXPECTED, now)
+    latency.forget("e")
+    assert latency.latency_ratio("e", now + 5.0) < 1.5
 
 
 def engine(endpoint: str, slowness: float, running: int = 0, waiting: float = 0.0) -> EngineState:
@@ -80,8 +82,8 @@
     )
 
 
-def test_a_slow_engine_gets_less_in_proportion() -> None:
-    """Requests that come faster than they are read: sent one by one, none ending meanwhile."""
+def test_a_slow_engine_gets_proportionally_fewer_requests() -> None:
+    """All requests are sent before the first one ends."""
     sent = {"fast": 0, "slow": 0}
     for _ in range(60):
         states = [
@@ -95,19 +97,19 @@
 
 
 @pytest.mark.parametrize("scale", [0.25, 1.0, 4.0])
-def test_engines_that_are_about_as_fast_as_usual_are_not_told_apart(scale: float) -> None:
-    paces = EngineLatency()
+def test_small_differences_from_the_baseline_are_ignored(scale: float) -> None:
+    latency = EngineLatency()
     now = 100.0
     for _ in range(40):
-        now = max(fed(paces, name, scale, 5, now) for name in "abc")
-    now = fed(paces, "a", 1.5 * scale, 5, now)
-    now = fed(paces, "b", 6.0 * scale, 5, now)
-    assert paces.slowness("a", now) == 1.0
-    assert paces.slowness("b", now) > 3.0
+        now = max(record_first_tokens(latency, name, scale, 5, now) for name in "abc")
+    now = record_first_tokens(latency, "a", 1.5 * scale, 5, now)
+    now = record_first_tokens(latency, "b", 6.0 * scale, 5, now)
+    assert latency.slowness("a", now) == 1.0
+    assert latency.slowness("b", now) > 3.0
 
 
 @pytest.mark.parametrize("scale", [0.25, 0.5, 1.0, 2.0, 4.0])
-def test_the_order_of_engines_does_not_depend_on_how_fast_all_of_them_are(scale: float) -> None:
+def test_the_order_of_engines_does_not_depend_on_their_common_speed(scale: float) -> None:
     states = [
         engine("busy", scale, running=20, waiting=9_000.0),
         engine("some", scale, running=10, waiting=4_000.0),
@@ -124,7 +126,7 @@
     assert order.index("some") < order.index("busy")
 
 
-def test_requests_beyond_the_batch_wait_for_others_to_end() -> None:
+def test_requests_beyond_the_batch_are_expected_to_wait() -> None:
     waits = [expected_first_token(0.0, 1_000, running, 32) for running in (0, 31, 32, 40, 64)]
     assert waits == sorted(waits)
     assert waits[3] > waits[1] + 0.3
