--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""Who may order an endpoint: no two instances within the pause, whatever happens to them."""
+"""No two instances give orders to one endpoint within the pause, whatever happens to them."""
 
 from __future__ import annotations
 
@@ -17,56 +17,57 @@
 ENDPOINT = "i-1"
 
 
-def observed(*lapsed: str) -> ObservedLeases:
-    found = ObservedLeases(TERM, MARGIN)
+def leases_with_lapsed(*lapsed: str) -> ObservedLeases:
+    leases = ObservedLeases(TERM, MARGIN)
     for instance in lapsed:
-        found.record_read(instance, 5, 0.0)
-        found.record_read(instance, 5, TERM + MARGIN + 0.1)
-    return found
+        leases.record_read(instance, 5, 0.0)
+        leases.record_read(instance, 5, TERM + MARGIN + 0.1)
+    return leases
 
 
 @pytest.mark.parametrize(
-    ("holder", "confirmed", "alive", "candidates", "lapsed", "expected"),
+    ("owner", "confirmed", "alive", "candidates", "lapsed", "expected"),
     [
         (None, False, set(), ["me"], [], Claim(ENDPOINT, 0, 0.0)),
-        (None, False, {"b"}, ["b"], [], None),  # This instance is leaving.
-        ("me", False, set(), ["me"], [], Claim(ENDPOINT, 7, 0.0, True)),  # The same resumes.
+        (None, False, {"b"}, ["b"], [], None),  # This instance may not take the endpoint.
+        ("me", False, set(), ["me"], [], Claim(ENDPOINT, 7, 0.0, True)),  # The same owner resumes.
         ("me", True, set(), ["me"], [], None),
-        ("b", False, {"b"}, ["me"], ["b"], None),  # It says that its lease holds.
-        ("b", False, set(), ["me"], [], None),  # Its lease was not watched for a whole term.
+        ("b", False, {"b"}, ["me"], ["b"], None),  # The owner says that its lease is valid.
+        ("b", False, set(), ["me"], [], None),  # Its lease was not observed for a whole term.
         ("b", False, set(), ["me"], ["b"], Claim(ENDPOINT, 7, PAUSE)),
         ("b", False, set(), [], ["b"], None),
     ],
 )
-def test_claim(
-    holder: str | None,
+def test_which_claim_an_instance_makes(
+    owner: str | None,
     confirmed: bool,
     alive: set[str],
     candidates: list[str],
     lapsed: list[str],
     expected: Claim | None,
 ) -> None:
-    record = EndpointOwner(ENDPOINT, holder, 7) if holder else None
-    found = plan_claim(
-        ENDPOINT, record, "me", confirmed, alive, candidates, observed(*lapsed), PAUSE
+    record = EndpointOwner(ENDPOINT, owner, 7) if owner else None
+    claim = plan_claim(
+        ENDPOINT, record, "me", confirmed, alive, candidates, leases_with_lapsed(*lapsed), PAUSE
     )
-    assert found == expected
+    assert claim == expected
 
 
-def test_a_process_that_resumes_a_fresh_takeover_waits() -> None:
+def test_process_that_resumes_a_recent_takeover_waits() -> None:
     record = EndpointOwner(ENDPOINT, "me", 7, taken_over=True)
-    found = plan_claim(ENDPOINT, record, "me", False, set(), ["me"], observed(), PAUSE)
-    assert found == Claim(ENDPOINT, 7, PAUSE)
+    claim = plan_claim(ENDPOINT, record, "me", False, set(), ["me"], leases_with_lapsed(), PAUSE)
+    assert claim == Claim(ENDPOINT, 7, PAUSE)
 
 
-# Steps: `t` a heartbeat tells revision and seconds left, `r` a read shows a revision, each at a
-# time. Then: whether the lease has lapsed for a takeover.
-LAPSES: list[tuple[list[tuple[str, int, float, float]], bool]] = [
+# Per case: steps, each with a revision, the seconds left and a time, and whether the lease has
+# lapsed afterwards. `t` is a heartbeat that carries revision and seconds left, `r` a read that
+# shows a revision.
+LAPSE_CASES: list[tuple[list[tuple[str, int, float, float]], bool]] = [
     ([], False),
-    ([("t", 5, 2.0, 0.0)], False),  # Nothing was read after the end.
+    ([("t", 5, 2.0, 0.0)], False),  # No read after the end.
     ([("t", 5, 2.0, 0.0), ("r", 5, 0, 2.4)], False),  # Within the margin.
     ([("t", 5, 2.0, 0.0), ("r", 5, 0, 2.6)], True),
-    ([("t", 5, 2.0, 0.0), ("r", 6, 0, 2.6)], False),  # Renewed since.
+    ([("t", 5, 2.0, 0.0), ("r", 6, 0, 2.6)], False),  # Renewed meanwhile.
     ([("t", 5, 2.0, 0.0), ("r", 6, 0, 2.6), ("r", 6, 0, 9.2)], True),
     ([("t", 5, 2.0, 0.0), ("t", 5, 2.0, 2.0), ("r", 5, 0, 2.6)], False),  # Extended by promises.
     ([("t", 5, 2.0, 0.0), ("t", 4, 0.0, 1.0), ("r", 5, 0, 2.6)], True),
@@ -77,42 +78,44 @@
 ]
 
 
-@pytest.mark.parametrize(("steps", "lapsed"), LAPSES)
+@pytest.mark.parametrize(("steps", "lapsed"), LAPSE_CASES)
 def test_when_a_lease_has_lapsed(steps: list[tuple[str, int, float, float]], lapsed: bool) -> None:
-    found = ObservedLeases(TERM, MARGIN)
-    for what, revision, left, at in steps:
-        if what == "t":
-            found.record_heartbeat("b", revision, left, at)
+    leases = ObservedLeases(TERM, MARGIN)
+    for kind, revision, left, at in steps:
+        if kind == "t":
+            leases.record_heartbeat("b", revision, left, at)
         else:
-            found.record_read("b", revision, at)
-    assert found.has_lapsed("b") is lapsed
+            leases.record_read("b", revision, at)
+    assert leases.has_lapsed("b") is lapsed
 
 
-# What the store has (holder, of the present era), whether this process keeps it: the claim.
-AFTER_A_COPY: list[tuple[tuple[str, bool] | None, bool, Claim | None]] = [
+# Per case: the stored owner and whether it was written in the current era, whether this process has
+# owned the endpoint throughout, and the claim.
+RESTORED_STORE_CASES: list[tuple[tuple[str, bool] | None, bool, Claim | None]] = [
     (None, True, Claim(ENDPOINT, 0, 0.0)),
     (("b", False), True, Claim(ENDPOINT, 7, 0.0)),
     (("me", False), True, Claim(ENDPOINT, 7, 0.0)),
-    (("me", True), True, Claim(ENDPOINT, 7, 0.0, True)),  # The own write, whose answer was lost.
+    # This process's own write, whose answer was lost.
+    (("me", True), True, Claim(ENDPOINT, 7, 0.0, True)),
     (("b", True), True, None),  # Taken over in this era.
-    # Somebody else may hold it by what the copy lacks.
+    # Another instance may own it by a write that the copy lacks.
     (("me", False), False, Claim(ENDPOINT, 7, PAUSE)),
     (("b", False), False, None),
 ]
 
 
-@pytest.mark.parametrize(("stored", "keeps", "expected"), AFTER_A_COPY)
-def test_claim_after_the_store_came_back_older(
-    stored: tuple[str, bool] | None, keeps: bool, expected: Claim | None
+@pytest.mark.parametrize(("stored", "owned_throughout", "expected"), RESTORED_STORE_CASES)
+def test_claim_after_the_store_was_restored_from_an_older_copy(
+    stored: tuple[str, bool] | None, owned_throughout: bool, expected: Claim | None
 ) -> None:
     record = EndpointOwner(ENDPOINT, stored[0], 7, in_current_era=stored[1]) if stored else None
-    args = ("me", False, {"b"}, ["me"], observed(), PAUSE, keeps)
+    args = ("me", False, {"b"}, ["me"], leases_with_lapsed(), PAUSE, owned_throughout)
     assert plan_claim(ENDPOINT, record, *args) == expected
 
 
 @dataclass
 class Instance:
-    """One instance of the world below; it sees the store only when `reaches` is true."""
+    """One instance of the world below; it reaches the store only while `reaches` is true."""
 
     name: str
     lease: HeldLease = field(default_factory=lambda: HeldLease(TERM, MARGIN))
@@ -128,7 +131,7 @@
 class World:
     """A store, two instances that can't hear each other, and an endpoint that checks nothing.
 
-    The store may come back as it was some time before.
+    The store may be restored to an earlier state.
     """
 
     def __init__(self, pause: float, generations: bool, eras: bool) -> None:
@@ -144,20 +147,20 @@
         self.pause = pause
         self.generations = generations
 
-    def come_back_older(self, steps: int) -> None:
-        """Goes back by some steps; what is stored since then is gone."""
+    def restore_earlier_state(self, steps: int) -> None:
+        """Restores the state of some steps ago; what was stored since then is lost."""
         self.revision, leases, record = self.past[-min(steps, len(self.past))]
         self.past.clear()
         if self.eras:
             self.era += 1
-        self.leases = {name: self._renumbered(revision) for name, revision in leases.items()}
-        self.revision = self._renumbered(self.revision)
+        self.leases = {name: self._in_current_era(revision) for name, revision in leases.items()}
+        self.revision = self._in_current_era(self.revision)
         self.record = record
         if record is not None:
-            revision = self._renumbered(record.revision)
+            revision = self._in_current_era(record.revision)
             self.record = replace(record, revision=revision, in_current_era=not self.eras)
 
-    def _renumbered(self, revision: int) -> int:
+    def _in_current_era(self, revision: int) -> int:
         return global_revision(self.era, store_revision(revision))
 
     def step(self) -> None:
@@ -186,11 +189,11 @@
         for other in self.leases:
             if other != inst.name:
                 inst.seen.record_read(other, self.leases[other], self.now)
-        keeps = inst.fence > 0 and (
+        owned_throughout = inst.fence > 0 and (
             inst.generation == inst.lease.generation or not self.generations
         )
-        confirmed = keeps and era_of(inst.fence) == self.era
-        found = plan_claim(
+        confirmed = owned_throughout and era_of(inst.fence) == self.era
+        claim = plan_claim(
             ENDPOINT,
             self.record,
             inst.name,
@@ -199,14 +202,14 @@
             [inst.name],
             inst.seen,
             self.pause,
-            keeps,
+            owned_throughout,
         )
-        if found is None or found.revision != (self.record.revision if self.record else 0):
+        if claim is None or claim.revision != (self.record.revision if self.record else 0):
             return
-        not_before = self.now + found.pause
-        if keeps:
+        not_before = self.now + claim.pause
+        if owned_throughout:
             not_before = max(not_before, inst.not_before)
-        elif not found.no_earlier_owner:
+        elif not claim.no_earlier_owner:
             not_before = max(not_before, inst.era.settled_at(TERM, MARGIN, self.pause))
         self.revision += 1
         self.record = EndpointOwner(ENDPOINT, inst.name, self.revision, not_before > self.now)
@@ -236,85 +239,87 @@
     world = World(pause, generations, eras)
     for _ in range(20):
         world.step()
-    for which, what, duration in steps:
-        inst = world.instances[which]
-        match what:
+    for which, event, duration in steps:
+        instance = world.instances[which]
+        match event:
             case "freeze" | "thaw":
-                inst.frozen = what == "freeze"
+                instance.frozen = event == "freeze"
             case "cut" | "heal":
-                inst.reaches = what == "heal"
+                instance.reaches = event == "heal"
             case "restart":
-                world.instances[which] = Instance(inst.name, reaches=inst.reaches)
+                world.instances[which] = Instance(instance.name, reaches=instance.reaches)
             case "older":
-                world.come_back_older(duration)
+                world.restore_earlier_state(duration)
         for _ in range(duration):
             world.step()
     return world
 
 
-def turns_within(world: World, pause: float) -> list[float]:
-    found = []
+def changes_of_owner_within(world: World, pause: float) -> list[float]:
+    intervals = []
     for (at, name, _), (later, other, _) in pairwise(world.orders):
         if name != other and later - at < pause:
-            found.append(later - at)
-    return found
+            intervals.append(later - at)
+    return intervals
 
 
-# Two that are cut from each other, of which the store forgets that one took over or began.
-FORGOTTEN: list[Steps] = [
+# Two instances that can't hear each other; the restored copy lacks the takeover or the start of one
+# of them.
+HISTORIES_WITH_RESTORE: list[Steps] = [
     [(0, "freeze", 110), (1, "run", 30), (1, "cut", 1), (1, "older", 60), (0, "thaw", 90)],
     [(0, "older", 20), (0, "cut", 40), (1, "run", 90)],
     [(0, "cut", 1), (0, "older", 25), (1, "run", 90)],
-    # Two copies in a row: a holder that had to stop in the first era does not go on in the next.
+    # Two restores in a row: an owner that had to stop in the first era must not go on in the next.
     [(0, "freeze", 56), (0, "thaw", 14), (0, "older", 68), (0, "older", 38)],
-    # One that starts right after the drill finds nothing, while a holder that is cut off goes on.
+    # An instance that starts right after the restore finds no owner, while an owner that is cut off
+    # goes on.
     [(0, "cut", 1), (0, "older", 25), (1, "restart", 90)],
     [(0, "freeze", 110), (1, "run", 30), (1, "cut", 1), (1, "older", 5), (0, "restart", 90)],
 ]
 
 
-@pytest.mark.parametrize("steps", FORGOTTEN)
-def test_a_holder_that_the_copy_forgot_is_not_met_by_another(steps: Steps) -> None:
+@pytest.mark.parametrize("steps", HISTORIES_WITH_RESTORE)
+def test_owner_missing_from_the_restored_copy_meets_no_other_owner(steps: Steps) -> None:
     world = play(steps)
-    assert not turns_within(world, PAUSE - 0.11)
+    assert not changes_of_owner_within(world, PAUSE - 0.11)
     fences = [fence for _, _, fence in world.orders]
     assert fences == sorted(fences)
 
 
 def test_fails_without_eras() -> None:
-    """Revisions that are given out again, and an object that names a former holder."""
-    without = [play(steps, eras=False) for steps in FORGOTTEN]
-    assert any(turns_within(world, PAUSE - 0.11) for world in without)
+    """Without eras, revisions are assigned twice and the owner object may name a former owner."""
+    worlds = [play(steps, eras=False) for steps in HISTORIES_WITH_RESTORE]
+    assert any(changes_of_owner_within(world, PAUSE - 0.11) for world in worlds)
 
 
 @settings(max_examples=150, deadline=None)
 @given(STEPS)
-def test_two_holders_never_take_turns_within_the_pause(steps: Steps) -> None:
+def test_no_two_owners_give_orders_within_the_pause(steps: Steps) -> None:
     world = play(steps)
-    assert not turns_within(world, PAUSE - 0.11)
+    assert not changes_of_owner_within(world, PAUSE - 0.11)
     fences = [fence for _, _, fence in world.orders]
     assert fences == sorted(fences)
     assert len({(name, fence) for _, name, fence in world.orders}) == len(set(fences))
 
 
-TAKEOVER: Steps = [(0, "freeze", 100), (1, "run", 30)]
-CUT: Steps = [(0, "cut", 120), (1, "run", 30)]
+FROZEN_OWNER: Steps = [(0, "freeze", 100), (1, "run", 30)]
+CUT_OFF_OWNER: Steps = [(0, "cut", 120), (1, "run", 30)]
 
 
-@pytest.mark.parametrize("steps", [TAKEOVER, CUT])
-def test_a_lost_holder_is_replaced(steps: Steps) -> None:
+@pytest.mark.parametrize("steps", [FROZEN_OWNER, CUT_OFF_OWNER])
+def test_lost_owner_is_replaced(steps: Steps) -> None:
     world = play(steps)
     assert world.orders[-1][1] == "b"
 
 
 def test_fails_without_the_pause() -> None:
-    """The scripted history in which the pause is what keeps two holders apart."""
-    assert turns_within(play(CUT, pause=0.0), PAUSE)
-    assert not turns_within(play(CUT), PAUSE - 0.11)
+    """In this history, only the pause keeps the orders of two owners apart."""
+    assert changes_of_owner_within(play(CUT_OFF_OWNER, pause=0.0), PAUSE)
+    assert not changes_of_owner_within(play(CUT_OFF_OWNER), PAUSE - 0.11)
 
 
 def test_fails_without_generations() -> None:
-    """A thawed holder whose lease is renewed must not go on under its old fence."""
+    """A thawed owner whose lease is renewed must not go on with its old fencing token."""
     steps: Steps = [(0, "freeze", 120), (1, "run", 20), (0, "thaw", 40)]
-    assert turns_within(play(steps, generations=False), PAUSE)
-    assert not turns_within(play(steps), PAUSE - 0.11)
+    assert changes_of_owner_within(play(steps, generations=False), PAUSE)
+    assert not changes_of_owner_within(play(steps), PAUSE - 0.11)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The rules of idempotency keys: who may run, what the others are told, how old a key may be."""
+"""Idempotency keys: who may run a request, what repetitions get, and how old a key may be."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
         (state(OTHER_BODY, KeyState.FREE), Step.MISMATCH),
     ],
 )
-def test_judge(found: KeyRecord | None, step: Step) -> None:
+def test_next_step(found: KeyRecord | None, step: Step) -> None:
     assert next_step(found, MINE) is step
 
 
 @pytest.mark.parametrize(
-    ("found", "version", "ends"),
+    ("found", "version", "expected"),
     [
-        # The write conflicted with its own silent repetition, or its answer was lost.
+        # The write conflicted with its own automatic repetition, or its response was lost.
         (MINE, 7, Taken(7)),
         (THEIRS, 7, Told(Step.REPORT_IN_USE, THEIRS)),
         (
@@ -66,8 +66,8 @@
     ],
 )
 @pytest.mark.parametrize("lost", [False, True])
-def test_attempt_reads_back(
-    found: KeyRecord | None, version: int, ends: object, lost: bool
+def test_attempt_reads_the_record_after_a_conflict_or_a_lost_response(
+    found: KeyRecord | None, version: int, expected: object, lost: bool
 ) -> None:
     attempt = KeyAttempt(MINE)
     first: object = attempt.next_call
@@ -78,11 +78,11 @@
         attempt.record_conflict()
     second: object = attempt.next_call
     assert second == Read()
-    taking = attempt.examine(found, version)
-    assert (attempt.next_call if taking is None else taking) == ends
+    result = attempt.examine(found, version)
+    assert (attempt.next_call if result is None else result) == expected
 
 
-def test_attempt_gives_up() -> None:
+def test_attempt_gives_up_without_a_clear_result() -> None:
     assert KeyAttempt(MINE).record_no_answer(may_have_written=False) == GivenUp(doubtful=False)
     attempt = KeyAttempt(MINE)
     assert attempt.record_no_answer(may_have_written=True) is None
@@ -90,30 +90,30 @@
     attempt = KeyAttempt(MINE)
     for _ in range(100):
         attempt.record_conflict()
-        taking = attempt.examine(None, 0)
-        if taking is not None:
+        result = attempt.examine(None, 0)
+        if result is not None:
             break
-    assert taking == GivenUp(doubtful=False)
+    assert result == GivenUp(doubtful=False)
 
 
 @pytest.mark.parametrize(
-    ("outcome", "told"),
+    ("outcome", "expected"),
     [
         (Answered("text", 3, "length", "v1"), Answered("text", 3, "length", "v1")),
         (Failed(Reason.ENDPOINT_ERROR, 500, "no"), Failed(Reason.ENDPOINT_ERROR, 500, "no")),
         (Answered("x" * MAX_KEPT_BYTES), Unknown(Reason.ANSWER_NOT_KEPT)),
-        # Six bytes each in JSON: what counts is the size of the object that is written.
+        # Six bytes each in JSON: the size of the encoded record counts.
         (Answered("\x01" * (MAX_KEPT_BYTES // 4)), Unknown(Reason.ANSWER_NOT_KEPT)),
     ],
 )
-def test_a_repetition_is_told_the_first_outcome(outcome: Outcome, told: Outcome) -> None:
+def test_a_repetition_gets_the_first_outcome(outcome: Outcome, expected: Outcome) -> None:
     record = completed_record(MINE, outcome, getattr(outcome, "version", ""))
     assert record is not None
     read = msgspec.json.decode(msgspec.json.encode(record), type=KeyRecord)
-    assert outcome_for(Told(next_step(read, THEIRS), read)) == told
+    assert outcome_for(Told(next_step(read, THEIRS), read)) == expected
 
 
-def test_what_frees_a_key() -> None:
+def test_only_a_request_that_did_not_run_frees_its_key() -> None:
     freed = completed_record(MINE, NotRun(Reason.NO_ENDPOINT, 1.0))
     assert freed is not None
     assert freed.state == KeyState.FREE
@@ -127,7 +127,9 @@
         (Step.MISMATCH, OTHER_BODY, NotRun(Reason.KEY_MISMATCH)),
     ],
 )
-def test_told_without_an_answer(step: Step, record: KeyRecord, outcome: Outcome) -> None:
+def test_outcome_when_the_key_is_in_use_or_mismatched(
+    step: Step, record: KeyRecord, outcome: Outcome
+) -> None:
     assert outcome_for(Told(step, record)) == outcome
 
 
@@ -142,11 +144,13 @@
         (10.0, 60.0, True),
         (60.0, 60.0, False),
         (61.0, 60.0, False),
-        # Young enough for its deadline, too old for its record.
+        # Before its deadline, but too old for its record.
         (500.0, 900.0, False),
     ],
 )
-def test_may_dispatch(now: float, deadline: float, may: bool) -> None:
+def test_dispatch_ends_with_the_deadline_and_half_of_the_retention(
+    now: float, deadline: float, may: bool
+) -> None:
     assert may_dispatch(0.0, now, deadline, retention=1000.0) is may
 
 
@@ -166,7 +170,7 @@
         ("wk1-nothex-17", True),
     ],
 )
-def test_age_of_keys(key: str, usable: bool) -> None:
+def test_a_key_is_refused_by_its_age(key: str, usable: bool) -> None:
     assert is_usable(key, 1e9, WEEK) is usable
 
 
@@ -174,7 +178,7 @@
     made = 1e9
     key = make_key(made, "n")
     skew = WEEK / 14
-    # The record begins as early as any clock accepts the key; a clock that is fast purges it.
+    # The record is as old as any clock allows, and a fast clock purges it.
     record = msgspec.structs.replace(MINE, expires=expiry(made - skew, WEEK))
     for second in range(0, int(2 * WEEK), 3600):
         now = made + second
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Retry budget, pauses, circuits and admission, each by a table."""
+"""Retry budget, jitter, circuit breakers and admission control."""
 
 from __future__ import annotations
 
@@ -15,19 +15,21 @@
     ("share", "reserve", "fresh", "tried", "allowed"),
     [
         (0.2, 10.0, 0, 20, 10),  # The reserve alone.
-        (0.2, 2.0, 100, 20, 2),  # Earnings never exceed the reserve.
+        (0.2, 2.0, 100, 20, 2),  # The balance never exceeds the reserve.
         (0.5, 1.0, 1, 3, 1),
-        (0.2, 0.5, 10, 5, 0),  # Less than one whole retry is none.
+        (0.2, 0.5, 10, 5, 0),  # A part of a retry is none.
     ],
 )
-def test_retry_budget(share: float, reserve: float, fresh: int, tried: int, allowed: int) -> None:
+def test_retry_budget_allows_the_reserve_and_earnings(
+    share: float, reserve: float, fresh: int, tried: int, allowed: int
+) -> None:
     budget = RetryBudget(share, reserve)
     for _ in range(fresh):
         budget.record_request("drafting")
     assert sum(budget.try_spend("drafting") for _ in range(tried)) == allowed
 
 
-def test_retry_budget_in_the_long_run_is_the_share() -> None:
+def test_retry_budget_allows_its_share_in_the_long_run() -> None:
     budget = RetryBudget(0.2, 10.0)
     spent = 0
     for _ in range(10_000):
@@ -62,64 +64,64 @@
     ("fffwcs", State.CLOSED, True),
     ("fffwcf", State.OPEN, False),
     ("fffwcfwcs", State.CLOSED, True),
-    ("fffs", State.CLOSED, True),  # A call that began before it opened ends well.
-    ("fffwcw", State.PROBING, True),  # A probe without a verdict doesn't block for ever.
+    ("fffs", State.CLOSED, True),  # A call that began before the circuit opened succeeds.
+    ("fffwcw", State.PROBING, True),  # A probe without a result does not block forever.
 ]
 
 
 @pytest.mark.parametrize(("steps", "state", "allows"), CIRCUIT_CASES)
-def test_circuit(steps: str, state: State, allows: bool) -> None:
-    circuits = CircuitBreakers(Random(1))
+def test_circuit_states(steps: str, state: State, allows: bool) -> None:
+    breakers = CircuitBreakers(Random(1))
     now = 100.0
     for step in steps:
         if step == "f":
-            circuits.record_failure("engine", now)
+            breakers.record_failure("engine", now)
         elif step == "s":
-            circuits.record_success("engine")
+            breakers.record_success("engine")
         elif step == "c":
-            circuits.begin_call("engine", now)
+            breakers.begin_call("engine", now)
         else:
             now += MAX_PAUSE
-    assert circuits.state("engine") is state
-    assert circuits.allows("engine", now) is allows
-    assert (circuits.retry_after("engine", now) == 0.0) is allows
+    assert breakers.state("engine") is state
+    assert breakers.allows("engine", now) is allows
+    assert (breakers.retry_after("engine", now) == 0.0) is allows
 
 
 def test_circuit_pauses_grow_and_stay_bounded() -> None:
-    circuits = CircuitBreakers(Random(1))
+    breakers = CircuitBreakers(Random(1))
     now, pauses = 0.0, []
     for _ in range(3):
-        circuits.record_failure("engine", now)
+        breakers.record_failure("engine", now)
     for _ in range(12):
-        pauses.append(circuits.retry_after("engine", now))
+        pauses.append(breakers.retry_after("engine", now))
         now += MAX_PAUSE
-        circuits.begin_call("engine", now)
-        circuits.record_failure("engine", now)
+        breakers.begin_call("engine", now)
+        breakers.record_failure("engine", now)
     assert pauses[0] < 0.6
     assert MAX_PAUSE / 2 <= max(pauses) <= MAX_PAUSE
 
 
 ADMISSION_CASES = [
-    # Places, callers that enter in turn, the last one's refusal.
-    (4, "aaaa", None),  # One caller alone may take every place.
+    # Limit, callers in order of their requests, reason for which the last request is refused.
+    (4, "aaaa", None),  # A single caller may use the whole limit.
     (4, "aaaaa", Reason.CONCURRENCY),
     (4, "aaab", None),
     (8, "aaaab", None),
-    (8, "aaaaba", Reason.FAIR_SHARE),  # Half of 8 is its share beside one other caller.
+    (8, "aaaaba", Reason.FAIR_SHARE),  # The share is half of 8 with two callers.
     (8, "aabbaabb", None),
-    (9, "aaabbca", Reason.FAIR_SHARE),  # A third of 9 beside two others.
+    (9, "aaabbca", Reason.FAIR_SHARE),  # The share is a third of 9 with three callers.
     (9, "aabbca", None),
 ]
 
 
-@pytest.mark.parametrize(("places", "entries", "last"), ADMISSION_CASES)
-def test_admission(places: int, entries: str, last: Reason | None) -> None:
-    admission = Admission(places)
-    refusals = [admission.try_admit(caller) for caller in entries]
+@pytest.mark.parametrize(("limit", "callers", "last"), ADMISSION_CASES)
+def test_admission_by_fair_share(limit: int, callers: str, last: Reason | None) -> None:
+    admission = Admission(limit)
+    refusals = [admission.try_admit(caller) for caller in callers]
     assert refusals[-1] == last
 
 
-def test_admission_gives_places_back() -> None:
+def test_ended_requests_no_longer_count() -> None:
     admission = Admission(2)
     for _ in range(100):
         assert admission.try_admit("a") is None
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""The list of instances, read in turn and told on."""
+"""The platform's list, which instances take turns to read and of which they send updates."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 C = Listed("c", "127.0.0.1:3", "zone-b", Role.SERVICE, "orders")
 
 READ_CASES = [
-    # Known before, list read now, what peers are told.
+    # List before, list read now, update for the peers.
     ([A, B], [A, B], None),
     ([A, B], [A, B_LEAVES], ListUpdate("me", (B_LEAVES,), (), 0.1)),
     ([A, B], [A], ListUpdate("me", (), ("b",), 0.1)),
@@ -20,30 +20,30 @@
 ]
 
 
-@pytest.mark.parametrize(("before", "now", "news"), READ_CASES)
-def test_reading_tells_what_differs(
-    before: list[Listed], now: list[Listed], news: ListUpdate | None
+@pytest.mark.parametrize(("before", "now", "update"), READ_CASES)
+def test_read_returns_what_has_changed(
+    before: list[Listed], now: list[Listed], update: ListUpdate | None
 ) -> None:
     shared = SharedList()
     assert shared.replace("me", before, 0.1) is None
-    assert shared.replace("me", now, 0.1) == news
+    assert shared.replace("me", now, 0.1) == update
     peer = SharedList()
     peer.replace("peer", before, 0.1)
-    if news is not None:
-        assert peer.apply(news)
+    if update is not None:
+        assert peer.apply(update)
     assert peer.items == shared.items
 
 
-HEARD_CASES = [
-    # Has read the list itself, age of the news, whether the news is used.
+UPDATE_CASES = [
+    # Whether the list was read before, age of the update, whether the update is used.
     (False, 0.1, False),
     (True, 0.1, True),
-    (True, 60.0, False),  # Its sender was frozen in between.
+    (True, 60.0, False),  # Its sender was frozen between reading and sending.
 ]
 
 
-@pytest.mark.parametrize(("read", "age", "used"), HEARD_CASES)
-def test_news_that_was_held_up_is_not_used(read: bool, age: float, used: bool) -> None:
+@pytest.mark.parametrize(("read", "age", "used"), UPDATE_CASES)
+def test_update_that_was_held_up_is_not_used(read: bool, age: float, used: bool) -> None:
     shared = SharedList()
     if read:
         shared.replace("me", [A], 0.1)
@@ -54,5 +54,5 @@
 @pytest.mark.parametrize(
     ("interval", "peers", "expected"), [(1.0, 0, 1.0), (1.0, 1, 2.0), (2.0, 33, 60.0)]
 )
-def test_pause_grows_with_the_zone(interval: float, peers: int, expected: float) -> None:
+def test_read_interval_grows_with_the_zone(interval: float, peers: int, expected: float) -> None:
     assert read_interval(interval, peers) == expected
--- a/tests/test_load_time.py
+++ b/tests/test_load_time.py
@@ -1,4 +1,4 @@
-"""What is believed of the time of loads comes near to what a store of adapters does."""
+"""Estimates of load times approach the real times of a weight store."""
 
 from __future__ import annotations
 
@@ -8,47 +8,51 @@
 from wigeonarch_core.load_time import COLD_LOAD, INITIAL_CONCURRENCY, LoadTimeEstimate
 
 
-def test_loads_beyond_those_at_once_take_longer() -> None:
-    pace = LoadTimeEstimate()
-    assert pace.expected_seconds(False, 0) == COLD_LOAD
-    assert pace.expected_seconds(False, 7) == COLD_LOAD
-    assert pace.expected_seconds(False, 15) == 2 * COLD_LOAD
-    assert pace.expected_seconds(True, 15) < COLD_LOAD / 2
+def test_loads_beyond_the_concurrency_take_longer() -> None:
+    estimate = LoadTimeEstimate()
+    assert estimate.expected_seconds(False, 0) == COLD_LOAD
+    assert estimate.expected_seconds(False, 7) == COLD_LOAD
+    assert estimate.expected_seconds(False, 15) == 2 * COLD_LOAD
+    assert estimate.expected_seconds(True, 15) < COLD_LOAD / 2
 
 
-def truth(time: float, at_once: int, under_way: int) -> float:
-    return time * max(1.0, (under_way + 1) / at_once)
+def real_seconds(base_seconds: float, concurrency: int, other_loads: int) -> float:
+    return base_seconds * max(1.0, (other_loads + 1) / concurrency)
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize(("time", "at_once"), [(0.25, 8), (0.29, 48), (0.29, 64), (0.4, 20)])
-def test_expectations_come_near_to_a_stores_times(time: float, at_once: int, seed: int) -> None:
-    rng, pace = random.Random(seed), LoadTimeEstimate()
+@pytest.mark.parametrize(
+    ("base_seconds", "concurrency"), [(0.25, 8), (0.29, 48), (0.29, 64), (0.4, 20)]
+)
+def test_estimates_approach_the_times_of_a_store(
+    base_seconds: float, concurrency: int, seed: int
+) -> None:
+    rng, estimate = random.Random(seed), LoadTimeEstimate()
     ratios = []
     for number in range(600):
-        under_way = rng.randrange(0, 2 * at_once)
-        expected = pace.expected_seconds(False, under_way)
-        takes = truth(time, at_once, under_way)
-        (pace.record_on_time if takes <= expected + 0.012 else pace.record_late)(under_way)
+        other_loads = rng.randrange(0, 2 * concurrency)
+        expected = estimate.expected_seconds(False, other_loads)
+        real = real_seconds(base_seconds, concurrency, other_loads)
+        (estimate.record_on_time if real <= expected + 0.012 else estimate.record_late)(other_loads)
         if number >= 300:
-            ratios.append(expected / takes)
+            ratios.append(expected / real)
     assert 0.85 < sum(ratios) / len(ratios) < 1.15
 
 
-def test_a_store_with_room_is_found_out_within_seconds() -> None:
-    pace = LoadTimeEstimate()
+def test_higher_concurrency_is_learned_within_seconds() -> None:
+    estimate = LoadTimeEstimate()
     for _ in range(20):
-        pace.record_on_time(40)
-    assert pace.concurrency > 40
+        estimate.record_on_time(40)
+    assert estimate.concurrency > 40
 
 
-def test_a_store_like_the_first_keeps_its_number() -> None:
-    pace = LoadTimeEstimate()
+def test_the_estimate_stays_where_it_is_right() -> None:
+    estimate = LoadTimeEstimate()
     for _ in range(200):
-        under_way = 9
+        other_loads = 9
         late = (
-            truth(COLD_LOAD, int(INITIAL_CONCURRENCY), under_way)
-            > pace.expected_seconds(False, under_way) + 0.012
+            real_seconds(COLD_LOAD, int(INITIAL_CONCURRENCY), other_loads)
+            > estimate.expected_seconds(False, other_loads) + 0.012
         )
-        (pace.record_late if late else pace.record_on_time)(under_way)
-    assert 0.8 * INITIAL_CONCURRENCY < pace.concurrency < 1.25 * INITIAL_CONCURRENCY
+        (estimate.record_late if late else estimate.record_on_time)(other_loads)
+    assert 0.8 * INITIAL_CONCURRENCY < estimate.concurrency < 1.25 * INITIAL_CONCURRENCY
--- a/tests/test_logqueue.py
+++ b/tests/test_logqueue.py
@@ -1,4 +1,4 @@
-"""Logs never make the process wait, and lost lines are told of."""
+"""Logging never makes the process wait, and dropped lines are reported."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 LINE = "x" * 999 + "\n"
 
 
-def test_a_reader_that_stops_costs_lines_and_not_time() -> None:
+def test_stopped_reader_costs_lines_but_no_time() -> None:
     reader, writer = os.pipe()
     queue = LogQueue(writer, bound=100)
     queue.start()
     done = threading.Event()
 
-    def log_much() -> None:
+    def log_many_lines() -> None:
         for _ in range(2_000):
             queue.put(LINE)
         done.set()
 
-    threading.Thread(target=log_much, daemon=True).start()
-    assert done.wait(30)  # Blocked for good if it waited for the reader.
+    threading.Thread(target=log_many_lines, daemon=True).start()
+    assert done.wait(30)  # It would block forever if it waited for the reader.
     assert queue.dropped > 1_000
     kept = bytearray()
     while b"event=log_lines_dropped" not in kept:
@@ -32,7 +32,7 @@
     os.close(writer)
 
 
-def test_lines_are_written_in_order_before_the_end() -> None:
+def test_flush_writes_all_lines_in_order() -> None:
     reader, writer = os.pipe()
     queue = LogQueue(writer)
     queue.start()
@@ -44,7 +44,7 @@
         assert file.read().split() == [str(number) for number in range(50)]
 
 
-def test_a_reader_that_is_gone_is_no_error() -> None:
+def test_missing_reader_is_no_error() -> None:
     reader, writer = os.pipe()
     os.close(reader)
     queue = LogQueue(writer)
--- a/tests/test_ownership_faults.py
+++ b/tests/test_ownership_faults.py
@@ -1,6 +1,7 @@
-"""Histories in which nothing is evicted in use, but is as soon as one mechanism is taken away.
+"""Histories in which no adapter in use is evicted, but is once one mechanism is switched off.
 
-`slow` owns the engine, which has x and y loaded and idle; z is wanted, so one of them has to go.
+The process `slow` owns the engine, which has x and y loaded and idle. z is wanted, so x or y must
+be evicted.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from wigeonarch_core.messages import Granted, GrantRequest
 
 X, Y, Z = TARGETS
-LONG = 25.0
+LONG_DURATION = 25.0
 
 
 class History:
-    """A world whose owner has settled, with steps that histories share."""
+    """A world whose owner is settled, with steps that the histories share."""
 
     def __init__(self, mutation: Mutation, *, checks_fence: bool = False) -> None:
         self.world = World(mutation, checks_fence=checks_fence)
@@ -26,50 +27,50 @@
         self.slow, self.mean, self.fast = (self.world.processes[name] for name in RATES)
         assert self.slow.grants is not None
 
-    def keep_busy(self, asker: Process) -> None:
-        """Has y used for long, so that x is the copy that can go."""
-        asker.start_request(Y, LONG)
+    def keep_busy(self, requester: Process) -> None:
+        """Has y used for a long time, so that x is the copy to evict."""
+        requester.start_request(Y, LONG_DURATION)
         self.world.run(0.5)
 
-    def acts(self, process: Process) -> None:
-        """Lets one process act a few times, and its messages arrive."""
+    def run_duties_of(self, process: Process) -> None:
+        """Lets one process run its duties three times, and delivers the messages."""
         for _ in range(3):
             process.run_duties()
             self.world.deliver_messages()
 
-    def both_act(self) -> None:
-        """Lets the new owner grant x, then the last one be asked for z."""
+    def grant_x_then_ask_for_z(self) -> None:
+        """Lets the new owner grant x; then the last owner is asked for z."""
         self.fast.read_report()
-        self.fast.start_request(X, LONG)
-        self.acts(self.fast)
-        self.slow.start_request(Z, LONG)
+        self.fast.start_request(X, LONG_DURATION)
+        self.run_duties_of(self.fast)
+        self.slow.start_request(Z, LONG_DURATION)
         self.world.deliver_messages()
-        self.acts(self.slow)
+        self.run_duties_of(self.slow)
 
-    def one_takes_over(self, seconds: float) -> Process:
-        """Lets time pass without reports; returns who owns the engine then."""
+    def wait_for_takeover(self, seconds: float) -> Process:
+        """Lets time pass without reports; returns the process that then owns the engine."""
         self.world.run(seconds, reports=False)
         owners = [p for p in (self.mean, self.fast) if p.grants is not None]
         assert len(owners) == 1
         return owners[0]
 
 
-def paused_with_an_order(mutation: Mutation) -> World:
-    """The owner is frozen with an eviction in hand and thawed after x was granted anew."""
+def frozen_with_a_pending_order(mutation: Mutation) -> World:
+    """The owner freezes with an eviction pending and thaws after its successor has granted x."""
     history = History(mutation)
     history.keep_busy(history.mean)
-    history.slow.start_request(Z, LONG)
+    history.slow.start_request(Z, LONG_DURATION)
     history.world.deliver_messages()
     history.slow.decide_and_freeze()
-    history.one_takes_over(9.0).read_report()
-    history.mean.start_request(X, LONG)
+    history.wait_for_takeover(9.0).read_report()
+    history.mean.start_request(X, LONG_DURATION)
     history.world.run(1.5, reports=False)
     assert any(used[0] == X for used in history.world.engine.running.values())
     history.slow.thaw()
     return history.world
 
 
-def granted_just_before(mutation: Mutation) -> World:
+def granted_just_before_the_takeover(mutation: Mutation) -> World:
     """A grant of the last owner is used after its successor has seen the copy idle."""
     history = History(mutation)
     world = history.world
@@ -77,48 +78,48 @@
     world.cut_off.update({"slow", "fast"})
     world.muted.update({"slow", "fast"})
     world.run(4.0)
-    history.fast.start_request(X, LONG)
+    history.fast.start_request(X, LONG_DURATION)
     world.deliver_messages()
     world.deliver_delayed(GrantRequest)
     history.slow.decide_actions()
     world.deliver_messages()
-    new = history.one_takes_over(4.0)
+    new = history.wait_for_takeover(4.0)
     new.read_report()
     world.deliver_delayed(Granted)
-    new.start_request(Z, LONG)
+    new.start_request(Z, LONG_DURATION)
     world.deliver_messages()
     new.run_duties()
     return world
 
 
-def granted_too_late(mutation: Mutation) -> World:
-    """A grant is held up until the successor's quarantine has passed."""
+def grant_arrives_after_the_quarantine(mutation: Mutation) -> World:
+    """A grant of the last owner is delayed until its successor's quarantine has ended."""
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
     world.cut_off.update({"slow", "fast"})
     world.muted.update({"slow", "fast"})
-    history.fast.start_request(X, LONG)
+    history.fast.start_request(X, LONG_DURATION)
     world.deliver_messages()
     world.deliver_delayed(GrantRequest)
     history.slow.decide_actions()
     world.deliver_messages()
     history.slow.decide_and_freeze()
-    new = history.one_takes_over(9.0)
+    new = history.wait_for_takeover(9.0)
     world.run(8.0)
     world.deliver_delayed(Granted)
-    new.start_request(Z, LONG)
+    new.start_request(Z, LONG_DURATION)
     world.deliver_messages()
     new.run_duties()
     return world
 
 
-def order_under_way(mutation: Mutation) -> World:
-    """An old owner's order reaches an engine that checks, after the new owner has granted."""
+def order_arrives_after_the_takeover(mutation: Mutation) -> World:
+    """The last owner's order reaches an engine that checks tokens after its successor's grant."""
     history = History(mutation, checks_fence=True)
     world = history.world
     history.keep_busy(history.mean)
-    history.slow.start_request(Z, LONG)
+    history.slow.start_request(Z, LONG_DURATION)
     world.deliver_messages()
     history.slow.run_duties()
     world.deliver_messages()
@@ -126,10 +127,10 @@
     old = [order for order in world.pending_orders if order.victim is not None]
     assert old
     history.slow.decide_and_freeze()
-    history.one_takes_over(9.0).read_report()
+    history.wait_for_takeover(9.0).read_report()
     world.pending_orders = [order for order in world.pending_orders if order not in old]
     world.deliver_orders()
-    history.mean.start_request(X, LONG)
+    history.mean.start_request(X, LONG_DURATION)
     world.run(1.0)
     assert any(used[0] == X for used in world.engine.running.values())
     world.pending_orders = old
@@ -137,8 +138,8 @@
     return world
 
 
-def clocks_apart(mutation: Mutation) -> World:
-    """The owner's clock is slow, the successor's fast."""
+def clocks_run_at_different_rates(mutation: Mutation) -> World:
+    """The owner's clock is slow and its successor's is fast."""
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
@@ -150,12 +151,12 @@
             process.lease.record_running(process.now)
         history.fast.run_duties()
         world.deliver_messages()
-    history.both_act()
+    history.grant_x_then_ask_for_z()
     return world
 
 
-def lapsed_and_renewed(mutation: Mutation) -> World:
-    """The owner renews a lapsed lease while a takeover is about to be written."""
+def lease_renewed_during_a_takeover(mutation: Mutation) -> World:
+    """The owner renews its lapsed lease while a takeover is about to be written."""
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
@@ -173,12 +174,12 @@
     history.slow.run_duties()
     world.cut_off.add("slow")
     history.fast.thaw()
-    history.both_act()
+    history.grant_x_then_ask_for_z()
     return world
 
 
-def supported_in_an_outage(mutation: Mutation) -> World:
-    """The owner goes on by promises; one of those who gave them reaches the platform first."""
+def supported_during_an_outage(mutation: Mutation) -> World:
+    """The owner has lease support; a peer that promised it reaches the platform first."""
     history = History(mutation)
     world = history.world
     history.keep_busy(history.mean)
@@ -188,33 +189,35 @@
     world.cut_off.discard("fast")
     world.run(1.0, reports=False)
     history.fast.read_report()
-    history.fast.start_request(X, LONG)
-    history.acts(history.fast)
-    history.slow.start_request(Z, LONG)
-    history.acts(history.slow)
+    history.fast.start_request(X, LONG_DURATION)
+    history.run_duties_of(history.fast)
+    history.slow.start_request(Z, LONG_DURATION)
+    history.run_duties_of(history.slow)
     return world
 
 
-HISTORIES: dict[Callable[[Mutation], World], Mutation] = {
-    paused_with_an_order: Mutation(recheck=False),
-    granted_just_before: Mutation(quarantine=False),
-    granted_too_late: Mutation(recent_grants_only=False),
-    order_under_way: Mutation(fencing=False),
-    clocks_apart: Mutation(margin=False),
-    lapsed_and_renewed: Mutation(generations=False),
-    supported_in_an_outage: Mutation(promises=False),
+MECHANISM_BY_HISTORY: dict[Callable[[Mutation], World], Mutation] = {
+    frozen_with_a_pending_order: Mutation(recheck=False),
+    granted_just_before_the_takeover: Mutation(quarantine=False),
+    grant_arrives_after_the_quarantine: Mutation(recent_grants_only=False),
+    order_arrives_after_the_takeover: Mutation(fencing=False),
+    clocks_run_at_different_rates: Mutation(margin=False),
+    lease_renewed_during_a_takeover: Mutation(generations=False),
+    supported_during_an_outage: Mutation(promises=False),
 }
 
 
-@pytest.mark.parametrize("history", HISTORIES, ids=lambda each: str(each.__name__))
-def test_holds_with_every_mechanism(history: Callable[[Mutation], World]) -> None:
+@pytest.mark.parametrize("history", MECHANISM_BY_HISTORY, ids=lambda each: str(each.__name__))
+def test_no_adapter_in_use_is_evicted(history: Callable[[Mutation], World]) -> None:
     assert not history(Mutation()).engine.violations
 
 
 @pytest.mark.parametrize(
-    ("history", "mutation"), HISTORIES.items(), ids=lambda each: getattr(each, "__name__", "")
+    ("history", "mutation"),
+    MECHANISM_BY_HISTORY.items(),
+    ids=lambda each: getattr(each, "__name__", ""),
 )
-def test_fails_without_the_mechanism(
+def test_adapter_in_use_is_evicted_without_the_mechanism(
     history: Callable[[Mutation], World], mutation: Mutation
 ) -> None:
     assert history(mutation).engine.violations
--- a/tests/test_policy_scheduler.py
+++ b/tests/test_policy_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one engine: grants, refusals, loads and evictions, under a handed-in clock."""
+"""The scheduler of one engine: grants, refusals, loads and evictions, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -21,7 +21,9 @@
     return AdapterVersion("drafting", f"a{number}", "v1")
 
 
-def ask(name: str, number: int = 1, caller: str = "c", remaining: float = 60.0) -> GrantRequest:
+def grant_request(
+    name: str, number: int = 1, caller: str = "c", remaining: float = 60.0
+) -> GrantRequest:
     return GrantRequest(name, "entry", "e", target(number), caller, 0, remaining, 10)
 
 
@@ -30,197 +32,204 @@
     return EngineReport(incarnation, slots=2, max_batch=2, age_ms=age_ms, loaded=entries)
 
 
-def scheduler(*loaded: tuple[int, int]) -> EngineScheduler:
-    made = EngineScheduler("e", OPTS, 0.0, service="drafting")
-    made.apply_report(report(*loaded), 0.0)
-    return made
+def make_scheduler(*loaded: tuple[int, int]) -> EngineScheduler:
+    scheduler = EngineScheduler("e", OPTS, 0.0, service="drafting")
+    scheduler.apply_report(report(*loaded), 0.0)
+    return scheduler
 
 
-def granted(made: EngineScheduler, now: float) -> list[str]:
-    return [each.dispatch_id for each in made.decide(now) if isinstance(each, Grant)]
+def granted(scheduler: EngineScheduler, now: float) -> list[str]:
+    return [each.dispatch_id for each in scheduler.decide(now) if isinstance(each, Grant)]
 
 
-def refused(made: EngineScheduler, now: float) -> dict[str, Reason]:
-    return {each.dispatch_id: each.reason for each in made.decide(now) if isinstance(each, Refuse)}
+def refused(scheduler: EngineScheduler, now: float) -> dict[str, Reason]:
+    return {
+        each.dispatch_id: each.reason for each in scheduler.decide(now) if isinstance(each, Refuse)
+    }
 
 
-def test_grants_what_is_loaded_while_places_are_free() -> None:
-    made = scheduler((1, 0))
-    for each in (ask("cold", 2), ask("r1"), ask("r2"), ask("r3")):
-        assert made.submit(each, 0.0) is None
-    assert granted(made, 0.0) == ["r1", "r2"]
-    made.release("r1", 1.0)
-    assert granted(made, 1.0) == ["r3"]
+def test_requests_for_loaded_adapters_are_granted_while_batch_places_are_free() -> None:
+    scheduler = make_scheduler((1, 0))
+    for each in (
+        grant_request("cold", 2),
+        grant_request("r1"),
+        grant_request("r2"),
+        grant_request("r3"),
+    ):
+        assert scheduler.submit(each, 0.0) is None
+    assert granted(scheduler, 0.0) == ["r1", "r2"]
+    scheduler.release("r1", 1.0)
+    assert granted(scheduler, 1.0) == ["r3"]
 
 
-def test_callers_share_the_places() -> None:
-    made = scheduler((1, 0))
+def test_callers_share_the_batch_places() -> None:
+    scheduler = make_scheduler((1, 0))
     for name in ("m1", "m2", "m3"):
-        made.submit(ask(name, caller="many"), 0.0)
-    made.submit(ask("f1", caller="few"), 0.0)
-    assert granted(made, 0.0) == ["m1", "f1"]
+        scheduler.submit(grant_request(name, caller="many"), 0.0)
+    scheduler.submit(grant_request("f1", caller="few"), 0.0)
+    assert granted(scheduler, 0.0) == ["m1", "f1"]
 
 
-def _pin(made: EngineScheduler) -> None:
-    made.submit(ask("r1", 1), 3.0)
-    assert granted(made, 3.0) == ["r1"]
+def _pin(scheduler: EngineScheduler) -> None:
+    scheduler.submit(grant_request("r1", 1), 3.0)
+    assert granted(scheduler, 3.0) == ["r1"]
 
 
-def _silent_asker(made: EngineScheduler) -> None:
-    _pin(made)
-    made.drop_requester("entry", 3.0)
+def _silent_requester(scheduler: EngineScheduler) -> None:
+    _pin(scheduler)
+    scheduler.drop_requester("entry", 3.0)
 
 
-def _running(made: EngineScheduler) -> None:
-    made.apply_report(report((1, 1), (2, 0)), 3.0)
+def _running(scheduler: EngineScheduler) -> None:
+    scheduler.apply_report(report((1, 1), (2, 0)), 3.0)
 
 
-def _declared(made: EngineScheduler) -> None:
-    made.adopt_pin("old", "peer", target(1), 60.0, 3.0)
+def _declared(scheduler: EngineScheduler) -> None:
+    scheduler.adopt_pin("old", "peer", target(1), 60.0, 3.0)
 
 
-def _awaited(made: EngineScheduler) -> None:
-    made.submit(ask("r1", 2), 3.0)
-    made.submit(ask("r2", 2), 3.0)
-    made.submit(ask("r3", 1), 3.0)
-    assert granted(made, 3.0) == ["r1", "r2"]
+def _waited_for(scheduler: EngineScheduler) -> None:
+    scheduler.submit(grant_request("r1", 2), 3.0)
+    scheduler.submit(grant_request("r2", 2), 3.0)
+    scheduler.submit(grant_request("r3", 1), 3.0)
+    assert granted(scheduler, 3.0) == ["r1", "r2"]
 
 
 @pytest.mark.parametrize(
     ("use", "victim"),
-    [(_pin, 2), (_silent_asker, 2), (_running, 2), (_declared, 2), (_awaited, None)],
+    [(_pin, 2), (_silent_requester, 2), (_running, 2), (_declared, 2), (_waited_for, None)],
 )
-def test_what_is_in_use_is_never_the_victim(
+def test_an_adapter_in_use_is_never_evicted(
     use: Callable[[EngineScheduler], None], victim: int | None
 ) -> None:
-    made = scheduler((1, 0), (2, 0))
-    use(made)
-    made.submit(ask("cold", 3), 3.0)
-    bid = made.best_bid(3.0)
+    scheduler = make_scheduler((1, 0), (2, 0))
+    use(scheduler)
+    scheduler.submit(grant_request("cold", 3), 3.0)
+    bid = scheduler.best_bid(3.0)
     assert (bid.victim if bid else None) == (target(victim) if victim else None)
 
 
-def test_the_turn_is_checked_again_when_it_comes() -> None:
-    made = scheduler((1, 0), (2, 0))
-    made.submit(ask("cold", 3), 3.0)
-    bid = made.best_bid(3.0)
+def test_a_load_is_checked_again_when_its_permit_arrives() -> None:
+    scheduler = make_scheduler((1, 0), (2, 0))
+    scheduler.submit(grant_request("cold", 3), 3.0)
+    bid = scheduler.best_bid(3.0)
     assert bid is not None
-    made.submit(ask("r1", 1), 3.1)
-    made.submit(ask("r2", 2), 3.1)
-    assert granted(made, 3.1) == ["r1", "r2"]
-    assert made.start_load(bid.target, 3.2) is None
-
-
-def test_a_copy_just_loaded_stays() -> None:
-    made = scheduler((1, 1))
-    made.submit(ask("r2", 2), 10.0)
-    assert made.start_load(target(2), 10.0) is not None
-    made.finish_load(target(2), True, 10.5)
-    assert granted(made, 10.5) == ["r2"]
-    made.release("r2", 11.0)
-    made.submit(ask("r3", 3), 11.0)
-    assert made.best_bid(11.0) is None
-    assert made.best_bid(13.0) is not None
-
-
-def test_a_pin_without_release_ends_late_and_only_when_idle() -> None:
-    made = scheduler((1, 0), (2, 1))
-    made.submit(ask("r1", 1, remaining=5.0), 0.0)
-    assert granted(made, 0.0) == ["r1"]
-    made.submit(ask("cold", 3), 0.0)
-    made.apply_report(report((1, 1), (2, 1)), 6.5)
-    assert made.best_bid(6.5) is None
-    made.apply_report(report((1, 0), (2, 1), age_ms=600.0), 6.5)
-    assert made.best_bid(6.5) is None
-    made.apply_report(report((1, 0), (2, 1)), 6.5)
-    assert made.best_bid(6.5) is not None
-
-
-def test_a_restart_forgets_slots_and_pins() -> None:
-    made = scheduler((1, 0))
-    made.submit(ask("r1"), 0.0)
-    assert granted(made, 0.0) == ["r1"]
-    made.apply_report(report(incarnation="i2"), 1.0)
-    assert made.pins_of("entry") == []
-    assert made.summary(1).loaded == ()
+    scheduler.submit(grant_request("r1", 1), 3.1)
+    scheduler.submit(grant_request("r2", 2), 3.1)
+    assert granted(scheduler, 3.1) == ["r1", "r2"]
+    assert scheduler.start_load(bid.target, 3.2) is None
+
+
+def test_a_new_copy_is_not_evicted_at_once() -> None:
+    scheduler = make_scheduler((1, 1))
+    scheduler.submit(grant_request("r2", 2), 10.0)
+    assert scheduler.start_load(target(2), 10.0) is not None
+    scheduler.finish_load(target(2), True, 10.5)
+    assert granted(scheduler, 10.5) == ["r2"]
+    scheduler.release("r2", 11.0)
+    scheduler.submit(grant_request("r3", 3), 11.0)
+    assert scheduler.best_bid(11.0) is None
+    assert scheduler.best_bid(13.0) is not None
+
+
+def test_an_unreleased_pin_ends_only_when_overdue_and_idle() -> None:
+    scheduler = make_scheduler((1, 0), (2, 1))
+    scheduler.submit(grant_request("r1", 1, remaining=5.0), 0.0)
+    assert granted(scheduler, 0.0) == ["r1"]
+    scheduler.submit(grant_request("cold", 3), 0.0)
+    scheduler.apply_report(report((1, 1), (2, 1)), 6.5)
+    assert scheduler.best_bid(6.5) is None
+    scheduler.apply_report(report((1, 0), (2, 1), age_ms=600.0), 6.5)
+    assert scheduler.best_bid(6.5) is None
+    scheduler.apply_report(report((1, 0), (2, 1)), 6.5)
+    assert scheduler.best_bid(6.5) is not None
+
+
+def test_a_restart_of_the_engine_clears_slots_and_pins() -> None:
+    scheduler = make_scheduler((1, 0))
+    scheduler.submit(grant_request("r1"), 0.0)
+    assert granted(scheduler, 0.0) == ["r1"]
+    scheduler.apply_report(report(incarnation="i2"), 1.0)
+    assert scheduler.pins_of("entry") == []
+    assert scheduler.summary(1).loaded == ()
 
 
 def test_an_old_report_does_not_undo_a_load() -> None:
-    made = scheduler()
-    made.submit(ask("r1"), 0.0)
-    assert made.start_load(target(1), 0.0) is not None
-    made.finish_load(target(1), True, 1.0)
-    made.apply_report(report(age_ms=500.0), 1.2)
-    assert granted(made, 1.2) == ["r1"]
+    scheduler = make_scheduler()
+    scheduler.submit(grant_request("r1"), 0.0)
+    assert scheduler.start_load(target(1), 0.0) is not None
+    scheduler.finish_load(target(1), True, 1.0)
+    scheduler.apply_report(report(age_ms=500.0), 1.2)
+    assert granted(scheduler, 1.2) == ["r1"]
 
 
-def test_failed_loads_back_off_and_then_answer() -> None:
-    made = scheduler()
-    made.submit(ask("r1"), 0.0)
+def test_failed_loads_back_off_and_then_refuse_requests() -> None:
+    scheduler = make_scheduler()
+    scheduler.submit(grant_request("r1"), 0.0)
     for start in (0.0, 1.0):
-        assert made.start_load(target(1), start) is not None
-        made.finish_load(target(1), False, start + 0.1)
-        assert made.best_bid(start + 0.1) is None
-    assert refused(made, 1.1) == {"r1": Reason.LOAD_FAILED}
-    again = made.submit(ask("r2"), 1.2)
+        assert scheduler.start_load(target(1), start) is not None
+        scheduler.finish_load(target(1), False, start + 0.1)
+        assert scheduler.best_bid(start + 0.1) is None
+    assert refused(scheduler, 1.1) == {"r1": Reason.LOAD_FAILED}
+    again = scheduler.submit(grant_request("r2"), 1.2)
     assert again is not None
     assert again.reason is Reason.LOAD_FAILED
     assert again.retry_after > 0.0
 
 
 @pytest.mark.parametrize(
-    ("asks", "last", "reason"),
+    ("waiting", "last", "reason"),
     [
-        (8, ask("last", 9, "other"), Reason.QUEUE_FULL),
-        (4, ask("last", 9, "c"), Reason.FAIR_SHARE),
-        (4, ask("last", 1, "other"), Reason.FAIR_SHARE),
-        (0, ask("last", remaining=0.0), Reason.DEADLINE),
+        (8, grant_request("last", 9, "other"), Reason.QUEUE_FULL),
+        (4, grant_request("last", 9, "c"), Reason.FAIR_SHARE),
+        (4, grant_request("last", 1, "other"), Reason.FAIR_SHARE),
+        (0, grant_request("last", remaining=0.0), Reason.DEADLINE),
     ],
     ids=["queue", "caller", "adapter", "too-late"],
 )
-def test_refuses_at_once(asks: int, last: GrantRequest, reason: Reason) -> None:
-    made = scheduler()
-    for number in range(asks):
+def test_requests_are_refused_at_once(waiting: int, last: GrantRequest, reason: Reason) -> None:
+    scheduler = make_scheduler()
+    for number in range(waiting):
         spread = number >= 4
-        each = ask(f"r{number}", number if spread else 1, f"c{number}" if spread else "c")
-        assert made.submit(each, 0.0) is None
-    refuse = made.submit(last, 0.0)
+        each = grant_request(f"r{number}", number if spread else 1, f"c{number}" if spread else "c")
+        assert scheduler.submit(each, 0.0) is None
+    refuse = scheduler.submit(last, 0.0)
     assert refuse is not None
     assert refuse.reason is reason
 
 
-def test_refuses_at_once_what_the_loads_ahead_leave_no_time_for() -> None:
-    made = scheduler()
+def test_requests_are_refused_if_the_loads_ahead_take_too_long() -> None:
+    scheduler = make_scheduler()
     for number in (1, 2, 3):
-        assert made.submit(ask(f"r{number}", number), 0.0) is None
-    assert made.start_load(target(1), 0.0) is not None
-    made.finish_load(target(1), True, 2.0)
-    refuse = made.submit(ask("late", 4, remaining=3.0), 2.0)
+        assert scheduler.submit(grant_request(f"r{number}", number), 0.0) is None
+    assert scheduler.start_load(target(1), 0.0) is not None
+    scheduler.finish_load(target(1), True, 2.0)
+    refuse = scheduler.submit(grant_request("late", 4, remaining=3.0), 2.0)
     assert refuse is not None
     assert refuse.reason is Reason.DEADLINE
     assert refuse.retry_after == pytest.approx(4.0)
-    assert made.submit(ask("patient", 5, remaining=30.0), 2.0) is None
-    assert made.submit(ask("together", 2, "other", remaining=3.0), 2.0) is None
+    assert scheduler.submit(grant_request("patient", 5, remaining=30.0), 2.0) is None
+    assert scheduler.submit(grant_request("together", 2, "other", remaining=3.0), 2.0) is None
 
 
-def test_a_slow_spell_of_the_store_is_soon_forgotten() -> None:
-    made = scheduler()
-    made.submit(ask("r0", 1), 0.0)
-    assert made.start_load(target(1), 0.0) is not None
-    made.finish_load(target(1), True, 20.0)
+def test_a_slow_period_of_the_store_is_soon_forgotten() -> None:
+    scheduler = make_scheduler()
+    scheduler.submit(grant_request("r0", 1), 0.0)
+    assert scheduler.start_load(target(1), 0.0) is not None
+    scheduler.finish_load(target(1), True, 20.0)
     now = 20.0
     for number in range(2, 30):
-        assert made.submit(ask(f"r{number}", number, remaining=5.0), now) is None
-        granted(made, now)
+        assert scheduler.submit(grant_request(f"r{number}", number, remaining=5.0), now) is None
+        granted(scheduler, now)
         for each in range(number):
-            made.release(f"r{each}", now)
-        made.apply_report(report(), now)
-        assert made.start_load(target(number), now) is not None
-        made.finish_load(target(number), True, now + 0.5)
+            scheduler.release(f"r{each}", now)
+        scheduler.apply_report(report(), now)
+        assert scheduler.start_load(target(number), now) is not None
+        scheduler.finish_load(target(number), True, now + 0.5)
         now += 1.0
-    made.submit(ask("first", 90), now)
-    made.submit(ask("second", 91), now)
-    assert made.submit(ask("third", 92, remaining=5.0), now) is None
+    scheduler.submit(grant_request("first", 90), now)
+    scheduler.submit(grant_request("second", 91), now)
+    assert scheduler.submit(grant_request("third", 92, remaining=5.0), now) is None
 
 
 @pytest.mark.parametrize(
@@ -228,14 +237,14 @@
     [(100, 0.0, 0.5, 1.1), (100, 50.0, 0.0, 0.02), (0, 0.0, 0.0, 0.0)],
     ids=["steady", "idle-bounds-it", "never-used"],
 )
-def test_rates(uses: int, idle: float, least: float, most: float) -> None:
+def test_rate_estimates(uses: int, idle: float, least: float, most: float) -> None:
     counts: DecayedCounts[str] = DecayedCounts(60.0, 10)
     for second in range(uses):
         counts.add("key", float(second))
     assert least <= counts.rate("key", max(0, uses - 1) + idle) <= most
 
 
-def test_rates_keep_the_busiest_in_bounded_memory() -> None:
+def test_rates_of_the_busiest_keys_are_kept_in_bounded_memory() -> None:
     counts: DecayedCounts[int] = DecayedCounts(60.0, 8)
     for key in range(100):
         counts.add(0, float(key))
--- a/tests/test_quota_bank.py
+++ b/tests/test_quota_bank.py
@@ -1,7 +1,7 @@
-"""The quota of a team over all instances: no window holds more, and whoever keeps to it is served.
+"""A team's quota over all instances: no window exceeds it, and a team within its quota is served.
 
-The rule is the invariant of whole deployments to which anything happens; each planted defect of the
-bank must break it.
+The bound must hold in whole deployments with any disturbances, and each planted defect of the
+ledger must break it.
 """
 
 from __future__ import annotations
@@ -11,139 +11,141 @@
 from typing import Any
 
 import pytest
-import wigeonarch_core.quota_ledger as quota_bank
+import wigeonarch_core.quota_ledger as quota_ledger
 from wigeonarch_core.quota_ledger import QuotaBounds, QuotaLedger, QuotaShare
 from wigeonarch_core.teams import Quota, Unit
 from wigeonarch_fakes.quota_world import BOUNDS, World, quota
 
-USUAL = 0.55  # Part of its quota that a team asks for on the whole.
-HOT = 7.5
-ALONE = QuotaShare(1.0, True)
+USUAL = 0.55  # Part of its quota that a team usually asks for overall.
+HOT = 7.5  # Factor of the usual load in a hot phase.
+WHOLE_QUOTA = QuotaShare(1.0, True)
 
 
-def hot_after(quota_: Quota, start: float, times: float = HOT) -> Callable[[float], float]:
-    """Returns a load that is usual, and `times` that from a time on."""
+def load_with_hot_phase(
+    quota_: Quota, start: float, times: float = HOT
+) -> Callable[[float], float]:
+    """Returns a load that is usual at first and `times` as high from `start` on."""
     return lambda now: USUAL * quota_.rate * (times if now >= start else 1.0)
 
 
 @pytest.mark.parametrize("rate", [2_700.0, 95_140.0])
 @pytest.mark.parametrize(("zones", "per_zone"), [(1, 4), (3, 8), (5, 6)])
 @pytest.mark.parametrize("seed", range(4))
-def test_no_window_holds_more_whatever_happens(
+def test_no_window_exceeds_the_bound_whatever_happens(
     rate: float, zones: int, per_zone: int, seed: int
 ) -> None:
-    found = World(zones, per_zone, quota(rate), seed)
-    found.play(60.0, hot_after(found.quota, 12.0))
-    assert found.worst() <= 1.0, found.events
+    world = World(zones, per_zone, quota(rate), seed)
+    world.play(60.0, load_with_hot_phase(world.quota, 12.0))
+    assert world.worst() <= 1.0, world.events
 
 
 @pytest.mark.parametrize("times", [2.0, HOT])
 @pytest.mark.parametrize("seed", range(3))
-def test_restart_of_everything_in_a_hot_phase(times: float, seed: int) -> None:
-    found = World(3, 8, quota(95_140.0), seed, troubles=False)
-    load = hot_after(found.quota, 20.0, times)
-    found.play(21.5, load)
-    for one in found.instances:
-        found.kill(one)
-    found.play(45.0, load)
-    assert found.worst() <= 1.0
-
-
-def play_split(found: World, until: float, hot_for: float) -> None:
-    """Splits each zone into halves, and heals it in a hot phase that began a little earlier."""
-    calm = 0.2 * USUAL * found.quota.rate
-    hot = HOT * USUAL * found.quota.rate
+def test_bound_holds_when_all_instances_restart_in_a_hot_phase(times: float, seed: int) -> None:
+    world = World(3, 8, quota(95_140.0), seed, troubles=False)
+    load = load_with_hot_phase(world.quota, 20.0, times)
+    world.play(21.5, load)
+    for instance in world.instances:
+        world.kill(instance)
+    world.play(45.0, load)
+    assert world.worst() <= 1.0
+
+
+def play_split(world: World, until: float, hot_for: float) -> None:
+    """Splits each zone into halves and heals it in a hot phase that began shortly before."""
+    calm = 0.2 * USUAL * world.quota.rate
+    hot = HOT * USUAL * world.quota.rate
     load = lambda now: hot if now >= until - hot_for else calm  # noqa: E731
-    found.play(14.0, load)
-    for one in found.instances[::2]:
-        one.split_until = until
-    found.play(until + 14.0, load)
+    world.play(14.0, load)
+    for instance in world.instances[::2]:
+        instance.split_until = until
+    world.play(until + 14.0, load)
 
 
 @pytest.mark.parametrize(("zones", "per_zone"), [(1, 8), (3, 6)])
 @pytest.mark.parametrize("until", [20.0, 26.0])
 @pytest.mark.parametrize("hot_for", [0.5, 2.0, 4.0])
-def test_a_split_zone_that_heals_in_a_hot_phase(
+def test_bound_holds_when_a_split_zone_heals_in_a_hot_phase(
     zones: int, per_zone: int, until: float, hot_for: float
 ) -> None:
     for seed in range(3):
-        found = World(zones, per_zone, quota(95_140.0), seed, troubles=False)
-        play_split(found, until, hot_for)
-        assert found.worst() <= 1.0
+        world = World(zones, per_zone, quota(95_140.0), seed, troubles=False)
+        play_split(world, until, hot_for)
+        assert world.worst() <= 1.0
 
 
 @pytest.mark.parametrize("rate", [2_700.0, 15_000.0, 95_140.0])
 @pytest.mark.parametrize(("zones", "per_zone"), [(1, 6), (3, 20)])
-def test_a_team_within_its_quota_is_served(rate: float, zones: int, per_zone: int) -> None:
-    found = World(zones, per_zone, quota(rate), 1, troubles=False, loss=0.0)
-    found.play(10.0, lambda now: 0.0)
-    found.play(60.0, lambda now: USUAL * rate)
-    assert found.goodput() >= 0.95
+def test_team_within_its_quota_is_served(rate: float, zones: int, per_zone: int) -> None:
+    world = World(zones, per_zone, quota(rate), 1, troubles=False, loss=0.0)
+    world.play(10.0, lambda now: 0.0)
+    world.play(60.0, lambda now: USUAL * rate)
+    assert world.goodput() >= 0.95
 
 
-def test_a_lasting_load_gets_what_a_window_holds() -> None:
-    found = World(3, 8, quota(95_140.0), 1, troubles=False, loss=0.0)
-    found.play(60.0, hot_after(found.quota, 12.0))
-    late = sum(cost for at, cost in found.given if at >= 28.0)
-    assert late >= 0.8 * BOUNDS.bound(found.quota) * (60.0 - 28.0) / BOUNDS.window
+def test_lasting_load_gets_most_of_what_the_bound_allows() -> None:
+    world = World(3, 8, quota(95_140.0), 1, troubles=False, loss=0.0)
+    world.play(60.0, load_with_hot_phase(world.quota, 12.0))
+    late = sum(cost for at, cost in world.given if at >= 28.0)
+    assert late >= 0.8 * BOUNDS.bound(world.quota) * (60.0 - 28.0) / BOUNDS.window
 
 
-def test_a_zone_whose_callers_are_few_lends_to_others() -> None:
+def test_zones_without_callers_lend_to_others() -> None:
     rate = 30_000.0
-    found = World(3, 6, quota(rate), 1, troubles=False, loss=0.0, calling={0})
-    found.play(12.0, lambda now: 0.0)
-    found.play(60.0, lambda now: USUAL * rate)
-    assert found.goodput() >= 0.95
+    world = World(3, 6, quota(rate), 1, troubles=False, loss=0.0, calling={0})
+    world.play(12.0, lambda now: 0.0)
+    world.play(60.0, lambda now: USUAL * rate)
+    assert world.goodput() >= 0.95
 
 
-def test_a_lowered_limit_binds_after_one_window() -> None:
-    found = World(3, 8, quota(95_140.0), 3, troubles=False)
-    found.play(20.0, lambda now: 50_000.0)
-    found.quota = quota(15_000.0)
-    found.play(60.0, lambda now: 50_000.0)
-    assert found.worst(since=20.0 + BOUNDS.window) <= 1.0
+def test_lowered_quota_binds_after_one_window() -> None:
+    world = World(3, 8, quota(95_140.0), 3, troubles=False)
+    world.play(20.0, lambda now: 50_000.0)
+    world.quota = quota(15_000.0)
+    world.play(60.0, lambda now: 50_000.0)
+    assert world.worst(since=20.0 + BOUNDS.window) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_limits_that_go_up_and_down_hold_the_greatest_of_a_window(seed: int) -> None:
-    found = World(3, 6, quota(40_000.0), seed)
+def test_changing_quota_never_exceeds_the_highest_of_a_window(seed: int) -> None:
+    world = World(3, 6, quota(40_000.0), seed)
     for number, rate in enumerate((20_000.0, 40_000.0, 10_000.0, 40_000.0, 40_000.0)):
-        found.play(20.0 + 7.0 * number, lambda now: 200_000.0)
-        found.quota = quota(rate)
-    found.quota = quota(40_000.0)
-    found.play(70.0, lambda now: 200_000.0)
-    assert found.worst() <= 1.0
+        world.play(20.0 + 7.0 * number, lambda now: 200_000.0)
+        world.quota = quota(rate)
+    world.quota = quota(40_000.0)
+    world.play(70.0, lambda now: 200_000.0)
+    assert world.worst() <= 1.0
 
 
 # Planted defects.
 
 
-def begins_full(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    monkeypatch.setattr(quota_bank, "FIRST", 1.0)
+def starts_with_the_whole_bound(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
+    monkeypatch.setattr(quota_ledger, "INITIAL_PART", 1.0)
     return {}
 
 
 def restarts_at_full_rate(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    monkeypatch.setattr(quota_bank, "RESTART", 0.0)
-    monkeypatch.setattr(quota_bank, "FIRST", 0.9)
+    monkeypatch.setattr(quota_ledger, "RESTART_RATE_PART", 0.0)
+    monkeypatch.setattr(quota_ledger, "INITIAL_PART", 0.9)
     return {}
 
 
-def deputies_are_bankers(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
+def deputies_are_coordinators(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
     part = World.part
     monkeypatch.setattr(World, "part", lambda self, one: QuotaShare(part(self, one).share, True))
-    monkeypatch.setattr(quota_bank, "FIRST", 0.3)
+    monkeypatch.setattr(quota_ledger, "INITIAL_PART", 0.3)
     return {}
 
 
-def cut_off_give_all(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
+def cut_off_instances_give_the_whole_share(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
     return {"share_of": lambda heard, known: 1.0}
 
 
-def nothing_is_unknown(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    # Each of the two finds what the other one misses of a pause.
-    monkeypatch.setattr(quota_bank, "STOOD_STILL", 1e9)
-    monkeypatch.setattr(quota_bank, "HEARD_AGAIN", 1e9)
+def accounts_never_restart(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
+    # Both checks detect a pause of the process, each in cases that the other one misses.
+    monkeypatch.setattr(quota_ledger, "MAX_UPDATE_GAP", 1e9)
+    monkeypatch.setattr(quota_ledger, "SHARE_GROWTH_TO_RESTART", 1e9)
     return {}
 
 
@@ -158,32 +160,32 @@
 
 
 def loans_count_twice(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    borrowed = QuotaLedger.accept_loan
+    accept_loan = QuotaLedger.accept_loan
 
     def twice(
-        self: QuotaLedger, team: str, plea: int, lender: str, units: float, now: float
+        self: QuotaLedger, team: str, request_number: int, lender: str, units: float, now: float
     ) -> bool:
-        borrowed(self, team, plea, lender, 2.0 * units, now)
-        return borrowed(self, team, plea, lender + "again", 2.0 * units, now)
+        accept_loan(self, team, request_number, lender, 2.0 * units, now)
+        return accept_loan(self, team, request_number, lender + "again", 2.0 * units, now)
 
-    monkeypatch.setattr(QuotaLedger, "borrowed", twice)
+    monkeypatch.setattr(QuotaLedger, "accept_loan", twice)
     return {}
 
 
-def nothing_is_counted(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
-    monkeypatch.setattr(QuotaLedger, "_give", staticmethod(lambda account, units, at: None))
+def grants_are_not_counted(monkeypatch: pytest.MonkeyPatch) -> dict[str, Any]:
+    monkeypatch.setattr(QuotaLedger, "_book", staticmethod(lambda account, units, at: None))
     return {}
 
 
 DEFECTS = [
-    begins_full,
+    starts_with_the_whole_bound,
     restarts_at_full_rate,
-    deputies_are_bankers,
-    cut_off_give_all,
-    nothing_is_unknown,
+    deputies_are_coordinators,
+    cut_off_instances_give_the_whole_share,
+    accounts_never_restart,
     loans_cost_nothing,
     loans_count_twice,
-    nothing_is_counted,
+    grants_are_not_counted,
 ]
 
 
@@ -191,20 +193,20 @@
 def test_a_planted_defect_is_caught(
     monkeypatch: pytest.MonkeyPatch, defect: Callable[[pytest.MonkeyPatch], dict[str, Any]]
 ) -> None:
-    more = defect(monkeypatch)
-    found = World(1, 8, quota(95_140.0), 1, troubles=False, **more)
-    play_split(found, 26.0, 2.0)
-    if found.worst() > 1.0:
+    options = defect(monkeypatch)
+    world = World(1, 8, quota(95_140.0), 1, troubles=False, **options)
+    play_split(world, 26.0, 2.0)
+    if world.worst() > 1.0:
         return
     for seed, shape in itertools.product(range(12), [(1, 4), (3, 6)]):
-        found = World(*shape, quota(95_140.0), seed, **more)
-        found.play(60.0, hot_after(found.quota, 12.0))
-        if found.worst() > 1.0:
+        world = World(*shape, quota(95_140.0), seed, **options)
+        world.play(60.0, load_with_hot_phase(world.quota, 12.0))
+        if world.worst() > 1.0:
             return
-    pytest.fail("no seed found it")
+    pytest.fail("no seed shows the defect")
 
 
-# One bank.
+# A single ledger.
 
 
 @pytest.mark.parametrize(
@@ -220,58 +222,58 @@
     assert Quota(unit, 10.0, 10.0, 200.0).cost(tokens) == cost
 
 
-def settled_bank(quota_: Quota) -> QuotaLedger:
-    """Returns a bank that has been in office for a whole window."""
-    bank = QuotaLedger(QuotaBounds(8.0, 0.0, 0.0), 0.0)
+def ledger_after_a_window(quota_: Quota) -> QuotaLedger:
+    """Returns a ledger whose account has been kept for a whole window."""
+    ledger = QuotaLedger(QuotaBounds(8.0, 0.0, 0.0), 0.0)
     for step in range(41):
-        bank.update({"t": (quota_, ALONE)}, step * 0.25)
-    return bank
+        ledger.update({"t": (quota_, WHOLE_QUOTA)}, step * 0.25)
+    return ledger
 
 
-def test_a_refusal_says_when_it_will_be_its_turn() -> None:
+def test_refusal_estimates_the_wait_behind_earlier_refusals() -> None:
     limit = Quota(Unit.REQUESTS, 10.0, 10.0)
-    bank = settled_bank(limit)
+    ledger = ledger_after_a_window(limit)
     given = 0
-    while bank.acquire("t", limit, ALONE, 1.0, 10.0).granted:
+    while ledger.acquire("t", limit, WHOLE_QUOTA, 1.0, 10.0).granted:
         given += 1
     assert given > 10
-    first = bank.acquire("t", limit, ALONE, 1.0, 10.0)
-    second = bank.acquire("t", limit, ALONE, 1.0, 10.0)
+    first = ledger.acquire("t", limit, WHOLE_QUOTA, 1.0, 10.0)
+    second = ledger.acquire("t", limit, WHOLE_QUOTA, 1.0, 10.0)
     assert not first.granted
     assert 0.0 < first.wait <= first.queue_wait < second.queue_wait
 
 
-def test_credit_is_given_back_once() -> None:
+def test_grant_is_refunded_once() -> None:
     limit = Quota(Unit.REQUESTS, 10.0, 10.0)
-    bank = settled_bank(limit)
-    bank.record_grant("e-1", 7, "t", 1.0, 10.0)
-    while bank.acquire("t", limit, ALONE, 1.0, 10.0).granted:
+    ledger = ledger_after_a_window(limit)
+    ledger.record_grant("e-1", 7, "t", 1.0, 10.0)
+    while ledger.acquire("t", limit, WHOLE_QUOTA, 1.0, 10.0).granted:
         pass
-    bank.refund("e-1", 7)
-    bank.refund("e-1", 7)
-    bank.refund("e-2", 7)
-    assert bank.acquire("t", limit, ALONE, 1.0, 10.0).granted
-    assert not bank.acquire("t", limit, ALONE, 1.0, 10.0).granted
+    ledger.refund("e-1", 7)
+    ledger.refund("e-1", 7)
+    ledger.refund("e-2", 7)
+    assert ledger.acquire("t", limit, WHOLE_QUOTA, 1.0, 10.0).granted
+    assert not ledger.acquire("t", limit, WHOLE_QUOTA, 1.0, 10.0).granted
 
 
-def test_a_loan_is_taken_once_and_only_while_it_is_waited_for() -> None:
+def test_loan_is_accepted_once_and_only_in_time() -> None:
     limit = Quota(Unit.REQUESTS, 10.0, 10.0)
-    bank = settled_bank(limit)
+    ledger = ledger_after_a_window(limit)
     part = QuotaShare(0.5, True)
-    while bank.acquire("t", limit, part, 1.0, 10.0).granted:
+    while ledger.acquire("t", limit, part, 1.0, 10.0).granted:
         pass
-    plea = bank.request_loan("t", limit, part, 10.0)
-    assert plea is not None
-    assert bank.request_loan("t", limit, part, 10.1) is None  # It was just asked.
-    assert bank.accept_loan("t", plea.number, "b", 2.0, 10.1)
-    assert not bank.accept_loan("t", plea.number, "b", 2.0, 10.1)
-    assert not bank.accept_loan("t", plea.number + 1, "b", 2.0, 10.1)
-    assert bank.accept_loan("t", plea.number, "c", 2.0, 10.2)
-    assert not bank.accept_loan("t", plea.number, "d", 2.0, 10.6)
+    request = ledger.request_loan("t", limit, part, 10.0)
+    assert request is not None
+    assert ledger.request_loan("t", limit, part, 10.1) is None  # The last request is too recent.
+    assert ledger.accept_loan("t", request.number, "b", 2.0, 10.1)
+    assert not ledger.accept_loan("t", request.number, "b", 2.0, 10.1)
+    assert not ledger.accept_loan("t", request.number + 1, "b", 2.0, 10.1)
+    assert ledger.accept_loan("t", request.number, "c", 2.0, 10.2)
+    assert not ledger.accept_loan("t", request.number, "d", 2.0, 10.6)
 
 
-def test_a_bank_forgets_teams_that_have_no_quota_any_more() -> None:
+def test_ledger_drops_teams_that_no_longer_have_a_quota() -> None:
     limit = Quota(Unit.REQUESTS, 10.0, 10.0)
-    bank = settled_bank(limit)
-    bank.update({}, 10.1)
-    assert bank.request_loan("t", limit, ALONE, 10.2) is None
+    ledger = ledger_after_a_window(limit)
+    ledger.update({}, 10.1)
+    assert ledger.request_loan("t", limit, WHOLE_QUOTA, 10.2) is None
--- a/tests/test_retry_window.py
+++ b/tests/test_retry_window.py
@@ -1,4 +1,4 @@
-"""The bound on repeated sends holds over all instances, also while they can't hear each other."""
+"""The retry limit holds over all instances, even while they can't reach each other."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     [
         (0, 1, 25),  # Half of the allowance.
         (0, 5, 5),
-        (100, 5, 15),  # Besides, half of the share.
-        (0, 60, 0),  # Less than one whole repeat is none.
+        (100, 5, 15),  # Also half of the share.
+        (0, 60, 0),  # A part of a retry is none.
     ],
 )
-def test_repeats_allowed(fresh: int, instances: int, allowed: int) -> None:
+def test_retries_allowed_by_share_and_allowance(fresh: int, instances: int, allowed: int) -> None:
     window = RetryWindow(SHARE, ALLOWANCE, WINDOW)
     window.note_instance_count(instances)
     for _ in range(fresh):
@@ -27,7 +27,7 @@
     assert sum(window.try_spend("s", 2.0) for _ in range(200)) == allowed
 
 
-def test_an_instance_that_falls_silent_gives_no_larger_part() -> None:
+def test_a_smaller_instance_count_does_not_enlarge_the_allowance() -> None:
     window = RetryWindow(SHARE, ALLOWANCE, WINDOW)
     window.note_instance_count(6)
     before = window.remaining("s", 0.0)
@@ -35,7 +35,7 @@
     assert window.remaining("s", 0.0) == before
 
 
-def test_repeats_return_when_the_window_has_passed() -> None:
+def test_retries_are_allowed_again_after_the_window() -> None:
     window = RetryWindow(SHARE, 2.0, WINDOW)
     assert window.try_spend("s", 0.0)
     assert not window.try_spend("s", 9.9)
@@ -47,24 +47,24 @@
         st.tuples(st.integers(0, 3), st.floats(0.0, 2.0), st.booleans()), min_size=1, max_size=300
     )
 )
-def test_no_window_has_more_repeats_than_allowed(
+def test_no_window_has_more_retries_than_allowed(
     steps: list[tuple[int, float, bool]],
 ) -> None:
-    """Four instances that never hear how much the others spend."""
-    parts = [RetryWindow(SHARE, ALLOWANCE, WINDOW) for _ in range(4)]
-    for part in parts:
-        part.note_instance_count(4)
+    """Four instances never learn how many retries the others send."""
+    windows = [RetryWindow(SHARE, ALLOWANCE, WINDOW) for _ in range(4)]
+    for window in windows:
+        window.note_instance_count(4)
     now = 0.0
     fresh: list[float] = []
-    repeats: list[float] = []
-    for which, pause, again in steps:
+    retries: list[float] = []
+    for instance, pause, is_retry in steps:
         now += pause
-        if again:
-            repeats += [now] * parts[which].try_spend("s", now)
+        if is_retry:
+            retries += [now] * windows[instance].try_spend("s", now)
         else:
-            parts[which].record_request("s", now)
+            windows[instance].record_request("s", now)
             fresh.append(now)
-        recent = [at for at in repeats if at > now - WINDOW]
-        # Fresh requests of this window or the one before count, as the bound allows.
-        base = [at for at in fresh if at > now - 2 * WINDOW]
-        assert len(recent) <= SHARE * len(base) + ALLOWANCE
+        recent = [at for at in retries if at > now - WINDOW]
+        # Fresh requests of this window and the one before count.
+        counted = [at for at in fresh if at > now - 2 * WINDOW]
+        assert len(recent) <= SHARE * len(counted) + ALLOWANCE
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Revisions that never go back, although the store's may."""
+"""Combined revisions never go back, although the store's own may."""
 
 from __future__ import annotations
 
@@ -23,14 +23,16 @@
 
 
 @given(ERAS, REVISIONS, ERAS, REVISIONS)
-def test_eras_go_before_revisions(era: int, revision: int, other: int, later: int) -> None:
+def test_combined_revisions_are_ordered_by_era_first(
+    era: int, revision: int, other: int, later: int
+) -> None:
     one, two = global_revision(era, revision), global_revision(other, later)
     assert (era_of(one), store_revision(one)) == (era, revision)
     assert (one < two) is ((era, revision) < (other, later))
     assert int(float(one)) == one
 
 
-async def test_nothing_of_an_earlier_era_is_sent_to_a_store_that_came_back_older() -> None:
+async def test_revision_of_an_earlier_era_is_not_sent_to_the_restored_store() -> None:
     standin = StoreStandIn()
     await standin.start()
     store = Store(standin.address)
@@ -56,7 +58,7 @@
 
 
 @pytest.mark.parametrize("era", [None, 3])
-async def test_a_watch_that_another_era_answers_tells_that_history_is_gone(
+async def test_watch_answered_in_another_era_reports_that_history_is_gone(
     era: int | None,
 ) -> None:
     standin = StoreStandIn()
@@ -68,7 +70,7 @@
     assert isinstance(listed, Listing)
     assert isinstance(await store.watch(ObjectKind.CONFIGURATION, listed.as_of, 0.05), Changes)
     assert isinstance(await store.get(ObjectKind.CONFIGURATION, "none"), Absent)
-    # The revision that the watch names exists in the next era too.
+    # The revision at which the watch starts exists in the next era too.
     standin.era = 4
     await standin.put("config", "main", {"version": 2})
     assert isinstance(await store.watch(ObjectKind.CONFIGURATION, listed.as_of, 0.05), HistoryGone)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""The route of a request, and the split of a route."""
+"""Lookup of routes, and the traffic split of a route."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     [
         ("x.example", "/a/b/c", "ab"),
         ("x.example", "/a/b/", "ab"),
-        ("x.example", "/a/b", "a"),  # The prefix ends with a slash, so this is not below it.
+        ("x.example", "/a/b", "a"),  # The prefix `/a/b/` ends with a slash, so it does not match.
         ("x.example", "/ab/", "root"),
         ("x.example", "/", "root"),
         ("X.Example:8080", "/a/x", "a"),
@@ -69,6 +69,6 @@
     assert drawn == {"old": 900, "new": 100}
 
 
-def test_the_last_share_takes_what_rounding_leaves() -> None:
+def test_the_last_service_gets_the_rounding_error() -> None:
     split = route("s", "x", "/", WeightedService("a", 1), WeightedService("b", 2))
     assert pick_service(split, 0.9999999999999999) == "b"
--- a/tests/test_service_load.py
+++ b/tests/test_service_load.py
@@ -1,4 +1,4 @@
-"""A plain service near and beyond what it can do: what callers get by how instances choose."""
+"""Choice of endpoints and load shedding for a plain service that is near or beyond its capacity."""
 
 from __future__ import annotations
 
@@ -20,54 +20,54 @@
 
 @pytest.mark.parametrize("endpoints", [2, 3])
 @pytest.mark.parametrize("load", [0.7, 0.85])
-def test_old_news_overrun_nobody(endpoints: int, load: float) -> None:
-    before = Service(load, least_busy, endpoints=endpoints).play()
-    after = Service(load, levelling, endpoints=endpoints).play()
+def test_outdated_information_overloads_no_endpoint(endpoints: int, load: float) -> None:
+    before = Service(load, least_busy, endpoints=endpoints).run()
+    after = Service(load, levelling, endpoints=endpoints).run()
     assert after.in_time >= 0.95
     assert after.in_time > before.in_time
 
 
-def test_an_endpoint_that_is_slow_gets_less() -> None:
-    after = Service(0.4, levelling, endpoints=3, slow=3.0).play()
+def test_a_slow_endpoint_gets_fewer_requests() -> None:
+    after = Service(0.4, levelling, endpoints=3, slow=3.0).run()
     assert after.in_time >= 0.75
 
 
-def test_while_a_service_is_calm_requests_stay_in_their_zone() -> None:
-    assert Service(0.25, levelling, endpoints=3).play().abroad <= 0.05
+def test_requests_of_a_lightly_loaded_service_stay_in_their_zone() -> None:
+    assert Service(0.25, levelling, endpoints=3).run().other_zone <= 0.05
 
 
 @pytest.mark.parametrize("load", [1.1, 1.3, 1.6])
-def test_beyond_what_a_service_can_do_refusals_keep_the_others_in_time(load: float) -> None:
-    without = Service(load, levelling).play()
-    found = Service(load, levelling, share).play()
+def test_overload_is_refused_so_that_other_requests_stay_in_time(load: float) -> None:
+    without = Service(load, levelling).run()
+    found = Service(load, levelling, share).run()
     assert found.in_time > without.in_time
-    # Two thirds of what the endpoints can do.
+    # At least two thirds of the endpoints' capacity is served in time.
     assert found.in_time >= 2.0 / 3.0 / load
 
 
 @pytest.mark.parametrize("load", [0.3, 0.6, 0.8])
-def test_within_what_a_service_can_do_hardly_anything_is_refused(load: float) -> None:
-    found = Service(load, levelling, share).play()
+def test_hardly_anything_is_refused_without_overload(load: float) -> None:
+    found = Service(load, levelling, share).run()
     assert found.refused <= 0.02
     assert found.in_time >= 0.95
 
 
 @pytest.mark.parametrize(
-    ("running", "usual", "expected"),
+    ("running", "service_time", "expected"),
     [
         (0, WORK, 1.0),
         (SLOTS - 1, WORK, 1.0),
-        (SLOTS, 10.0, SLOTS / (SLOTS + 1)),  # Work that is late anyway fills the slots only.
+        (SLOTS, 10.0, SLOTS / (SLOTS + 1)),  # Late even without a queue.
         (9, WORK, 1.0),
         (23, WORK, 12.0 / 24),
-        (100, None, 1.0),  # Nothing is refused before it is known what requests take.
+        (100, None, 1.0),  # Nothing is refused while the service time is unknown.
     ],
 )
-def test_part_that_is_sent(running: int, usual: float | None, expected: float) -> None:
-    assert admitted_share(running, SLOTS, usual, OBJECTIVE) == pytest.approx(expected)
+def test_admitted_share(running: int, service_time: float | None, expected: float) -> None:
+    assert admitted_share(running, SLOTS, service_time, OBJECTIVE) == pytest.approx(expected)
 
 
-def test_only_answers_without_a_wait_teach_what_requests_take() -> None:
+def test_service_time_is_learned_only_from_requests_that_did_not_wait() -> None:
     times = ServiceTimes()
     for _ in range(MIN_ANSWERS):
         assert times.estimate("s") is None
@@ -80,14 +80,14 @@
 @pytest.mark.parametrize(
     ("running", "same_zone", "lag", "draw", "expected"),
     [
-        ((0, 0), (True, False), LAG, 0.9, "0"),  # The own zone's while it is calm.
+        ((0, 0), (True, False), LAG, 0.9, "0"),  # Its own zone, while lightly loaded.
         ((2, 0), (True, False), LAG, 0.9, "0"),
-        ((12, 0), (True, False), 0.0, 0.5, "1"),  # Fresh news: the least busy one.
-        ((12, 6), (True, False), LAG, 0.2, "1"),  # Old news: both, the busier one less often.
+        ((12, 0), (True, False), 0.0, 0.5, "1"),  # No lag: the least busy endpoint.
+        ((12, 6), (True, False), LAG, 0.2, "1"),  # Lag: either, the busier one less often.
         ((12, 6), (True, False), LAG, 0.9, "0"),
     ],
 )
-def test_choice(
+def test_choice_by_load_zone_and_lag(
     running: tuple[int, int], same_zone: tuple[bool, bool], lag: float, draw: float, expected: str
 ) -> None:
     states = [
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: each fault is found before any socket opens, and named by its JSON path."""
+"""Errors in settings are found before any socket is opened, and name the JSON path."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     RANGES,
     BadSettings,
     decode_options,
-    numbers,
+    iter_numbers,
 )
 from wigeonarch_entry import cli
 
@@ -31,20 +31,20 @@
 
 
 def settings(path: str, value: Any) -> bytes:
-    """Returns good settings with one value changed; `...` takes it away."""
+    """Returns valid settings with one value changed; `...` removes it."""
     doc = json.loads(json.dumps(GOOD))
     *groups, name = path.removeprefix("$.").split(".")
-    place = doc
+    group_doc = doc
     for group in groups:
-        place = place.setdefault(group, {})
-    place[name] = value
+        group_doc = group_doc.setdefault(group, {})
+    group_doc[name] = value
     if value is ...:
-        del place[name]
+        del group_doc[name]
     return json.dumps(doc).encode()
 
 
 BAD: list[tuple[str, Any, str]] = [
-    # Path that is changed, its new value, path that the error names.
+    # Changed path, its new value, path in the error.
     *((f"$.{name}", ..., "$") for name in GOOD),
     ("$.nonsense", 1, "$"),
     ("$.timing.nonsense", 1, "$.timing"),
@@ -89,36 +89,36 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value", "named"), BAD)
-def test_fault_is_named_by_its_path(path: str, value: Any, named: str) -> None:
-    found = decode_options(settings(path, value))
-    assert isinstance(found, BadSettings), found
-    assert found.path == named
-    assert found.message
+@pytest.mark.parametrize(("path", "value", "reported_path"), BAD)
+def test_error_names_the_path(path: str, value: Any, reported_path: str) -> None:
+    result = decode_options(settings(path, value))
+    assert isinstance(result, BadSettings), result
+    assert result.path == reported_path
+    assert result.message
 
 
 DEFAULTS = Options(instance="i", zone="z", http="", rpc="", peer="", platform=())
-NUMBERS = [path for path, _ in numbers(DEFAULTS)]
+NUMBERS = [path for path, _ in iter_numbers(DEFAULTS)]
 
 
 @pytest.mark.parametrize("path", NUMBERS)
 def test_no_number_may_be_negative(path: str) -> None:
-    found = decode_options(settings(path, -1))
-    assert isinstance(found, BadSettings)
-    assert found.path == path
+    result = decode_options(settings(path, -1))
+    assert isinstance(result, BadSettings)
+    assert result.path == path
 
 
 @pytest.mark.parametrize("path", [path for path in NUMBERS if path not in RANGES])
 def test_other_numbers_must_be_greater_than_0(path: str) -> None:
-    found = decode_options(settings(path, 0))
-    assert isinstance(found, BadSettings)
-    assert (found.path, "greater than 0" in found.message) == (path, True)
+    result = decode_options(settings(path, 0))
+    assert isinstance(result, BadSettings)
+    assert (result.path, "greater than 0" in result.message) == (path, True)
 
 
-def test_ranges_and_checks_are_of_real_settings() -> None:
+def test_ranges_and_checks_name_existing_settings() -> None:
     assert set(RANGES) <= set(NUMBERS)
-    named = {check.path for check in CHECKS} - set(NUMBERS)
-    assert named <= {f"$.{field.name}" for field in msgspec.structs.fields(Options)}
+    check_paths = {check.path for check in CHECKS} - set(NUMBERS)
+    assert check_paths <= {f"$.{field.name}" for field in msgspec.structs.fields(Options)}
 
 
 @pytest.mark.parametrize("group", [Timing, Limits, PolicyOptions])
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("weights", [(0, 1), (1, 0)])
-def test_one_half_of_the_objective_may_be_0(weights: tuple[float, float]) -> None:
+def test_only_one_weight_of_the_objective_may_be_0(weights: tuple[float, float]) -> None:
     doc = GOOD | {"policy": {"stall_weight": weights[0], "batch_weight": weights[1]}}
     assert isinstance(decode_options(json.dumps(doc).encode()), Options)
     doc = GOOD | {"policy": {"stall_weight": 0, "batch_weight": 0}}
@@ -152,17 +152,17 @@
     path = tmp_path / "settings.json"
     path.write_bytes(text)
     assert cli.main(["check-settings", str(path)]) == code
-    told = capsys.readouterr()
-    assert f"{path}{shown}" in (told.err if code else told.out)
+    captured = capsys.readouterr()
+    assert f"{path}{shown}" in (captured.err if code else captured.out)
 
 
 def test_serve_opens_nothing_with_bad_settings(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def opened(*_args: object) -> None:
-        raise AssertionError("a node was made")
+    def make_node(*_args: object) -> None:
+        raise AssertionError("a node was created")
 
-    monkeypatch.setattr(cli, "Node", opened)
+    monkeypatch.setattr(cli, "Node", make_node)
     path = tmp_path / "settings.json"
     path.write_bytes(settings("$.http", "nowhere"))
     assert cli.main(["serve", "--settings", str(path)]) == 2
@@ -171,9 +171,9 @@
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=[path.name for path in EXAMPLES])
-def test_examples_can_be_used(path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_example_settings_are_valid(path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert cli.main(["check-settings", str(path)]) == 0, capsys.readouterr().err
 
 
-def test_both_users_have_an_example() -> None:
+def test_both_deployments_have_an_example() -> None:
     assert [path.name for path in EXAMPLES] == ["daugava-entry.json", "galbraith-mure-entry.json"]
--- a/tests/test_store_contact.py
+++ b/tests/test_store_contact.py
@@ -1,7 +1,8 @@
-"""What is missing after an outage is kept while it may have lapsed, and never beyond the bound.
+"""Entries missing after an outage are kept while they may have lapsed, but never beyond the bound.
 
 The second half plays a small world with a clock of its own: two availability zones, instances that
-lose the store alone, by zone or all together, endpoints that renew their entries, leave, or lapse.
+lose the store alone, by zone or all together, and endpoints that renew their entries, leave, or let
+them lapse.
 """
 
 from __future__ import annotations
@@ -19,31 +20,32 @@
 @pytest.mark.parametrize(
     ("answers", "failed", "witnesses", "until"),
     [
-        # No outage in which an entry could lapse.
+        # No outage long enough for an entry to lapse.
         ([10.0], [], [], NEVER),
         ([10.0, 12.9], [12.0], [], NEVER),
-        # An outage that others shared, or of which nobody tells.
+        # An outage that the witnesses shared, or without witnesses.
         ([10.0, 15.0], [14.8], [], 17.2),
         ([10.0, 15.0], [14.8], [Contact(2.0, 11.0)], 17.2),
         ([10.0, 15.0], [14.8], [Contact(14.9, 15.3)], 17.2),
         ([10.0, 15.0], [14.8], [Contact(2.0, 11.0), Contact(14.9, 15.3)], 17.2),
-        # An outage of this instance alone: endpoints could renew their entries.
+        # An outage of this instance alone: the endpoints could renew their entries.
         ([10.0, 15.0], [14.8], [Contact(2.0, 15.1)], NEVER),
         ([10.0, 15.0], [14.8], [Contact(2.0, 12.5)], NEVER),
         ([10.0, 15.0], [14.8], [Contact(12.5, 15.1)], NEVER),
         ([10.0, 15.0], [14.8], [Contact(14.9, 15.3), Contact(2.0, 15.1)], NEVER),
-        # Late notice leaves less time: the way may be back since the last call that failed.
+        # Late notice leaves less time: the store may have been reachable since the last failed
+        # call.
         ([10.0, 15.0], [13.4], [], 15.9),
         ([10.0, 15.0], [11.0, 13.4, 12.0], [], 15.9),
-        # Without a failed call there was none: the way may have been there all along.
+        # Without a failed call there was no outage: the store may have been reachable all the time.
         ([10.0, 15.0], [], [], NEVER),
         ([10.0, 15.0], [9.0], [], NEVER),
         ([10.0, 15.0, 18.5], [14.8], [], NEVER),
-        # What fails later, or comes late, belongs to no outage that is over.
+        # Later failures and late answers don't belong to an outage that is over.
         ([10.0, 15.0, 15.2, 15.1], [14.8], [], 17.2),
     ],
 )
-def test_how_long_a_missing_entry_may_be_one_that_lapsed(
+def test_until_when_a_missing_entry_may_have_lapsed(
     answers: list[float], failed: list[float], witnesses: list[Contact], until: float
 ) -> None:
     contact = StoreContact(TIMES)
@@ -55,7 +57,7 @@
     assert contact.may_lapse_until(witnesses) == pytest.approx(until)
 
 
-def test_calls_that_fail_after_an_outage_do_not_lengthen_it() -> None:
+def test_calls_that_fail_after_an_outage_do_not_extend_it() -> None:
     contact = StoreContact(TIMES)
     contact.record_answer(10.0)
     contact.record_failure(14.8)
@@ -65,20 +67,22 @@
     assert contact.may_lapse_until([]) == pytest.approx(17.2)
 
 
-# The world. Times in seconds; the bound and the contact are those of the smallest deployments.
+# The world. Times are in seconds; the bound and the contact time are those of the smallest
+# deployments.
 
 STEP = 0.05
 SPAN = 40.0
 HEARTBEAT = 1.2
-SILENT_BEATS = 3
+MISSED_HEARTBEATS_TO_LAPSE = 3
 BOUND = 2.0
 CONTACT = 3.0
-LATE = 0.5  # Seconds that are left for the look at the clock and for requests under way.
+RESERVE = 0.5  # Seconds reserved for the interval between checks and for requests under way.
 BEAT = 0.5
-RETRIES = (0.25, 1.6)  # Pauses after failed calls, of keepers and, at most, of others.
+# Pauses after failed calls: of zone watchers, and the longest one of other instances.
+RETRY_PAUSES = (0.25, 1.6)
 ZONES = ("a", "b")
 
-Kept = Callable[[StoreContact, list[Contact]], float]
+KeepUntil = Callable[[StoreContact, list[Contact]], float]
 
 
 @dataclass
@@ -86,30 +90,30 @@
     """An endpoint and its entry in the store."""
 
     zone: str
-    leaves: float
-    next_beat: float
-    written: float = 0.0
+    leaves_at: float
+    next_heartbeat: float
+    written_at: float = 0.0
     present: bool = True
-    gone_at: float = float("inf")  # When the store accepted its leaving.
+    gone_at: float = float("inf")  # When the store accepted the removal.
 
 
 @dataclass
 class Instance:
-    """An instance, and which endpoints it would send to."""
+    """An instance and the endpoints to which it would send requests."""
 
     zone: str
     retry: float
     contact: StoreContact
     next_call: float = 0.0
-    since_cut: float = 0.0  # Start of the time for which it has had a way to the store.
-    told: dict[int, Contact] = field(default_factory=dict)
-    uses: set[int] = field(default_factory=set)
+    last_cut_off: float = 0.0  # Last time at which it could not reach the store.
+    contacts: dict[int, Contact] = field(default_factory=dict)
+    used: set[int] = field(default_factory=set)
     missing: set[int] = field(default_factory=set)
 
 
 @dataclass(frozen=True)
 class Cut:
-    """A time without the store for instances by number and, in whole zones, endpoints, too."""
+    """A period without the store, for some instances or for whole zones with their endpoints."""
 
     begin: float
     end: float
@@ -120,46 +124,48 @@
         return self.begin <= now < self.end and (zone in self.zones or number in self.numbers)
 
 
-def drawn_cut(rng: random.Random, wide: bool) -> Cut:
+def random_cut(rng: random.Random, wide: bool) -> Cut:
     begin = rng.uniform(3.0, SPAN - 8.0)
     end = begin + rng.uniform(0.5, 7.0)
     zones = frozenset(ZONES if wide else rng.choice((ZONES, "a", "b", "")))
-    some = rng.sample(range(6), rng.randint(1, 6))
-    return Cut(begin, end, zones, frozenset() if zones else frozenset(some))
+    numbers = rng.sample(range(6), rng.randint(1, 6))
+    return Cut(begin, end, zones, frozenset() if zones else frozenset(numbers))
 
 
-def play(seed: int, kept: Kept, leaving: bool = True) -> int:
+def play(seed: int, keep_until: KeepUntil, leaving: bool = True) -> int:
     """Plays a world; returns how often an instance dropped an endpoint that had not left.
 
-    Fails when an instance that had a way to the store for long enough uses what left. Without
-    `leaving` no endpoint does, and outages are those of all.
+    Fails if an instance that has had contact with the store for long enough still uses an endpoint
+    that left. Without `leaving`, no endpoint leaves and every outage affects all zones.
     """
     rng = random.Random(seed)
-    times = LapseTimes(3.0, 2.2, CONTACT - LATE)
-    cuts = [drawn_cut(rng, wide=not leaving) for _ in range(rng.randint(1, 4))]
+    times = LapseTimes(3.0, 2.2, CONTACT - RESERVE)
+    cuts = [random_cut(rng, wide=not leaving) for _ in range(rng.randint(1, 4))]
     never = float("inf")
     entries = [
         Entry(zone, rng.uniform(5.0, SPAN) if leaving else never, rng.uniform(0.0, HEARTBEAT))
         for zone in ZONES
         for _ in "123"
     ]
-    instances = [Instance(ZONES[n % 2], rng.choice(RETRIES), StoreContact(times)) for n in range(6)]
+    instances = [
+        Instance(ZONES[n % 2], rng.choice(RETRY_PAUSES), StoreContact(times)) for n in range(6)
+    ]
     dropped = 0
 
     def cut(zone: str, number: int, now: float) -> bool:
-        return any(found.concerns(zone, number, now) for found in cuts)
+        return any(item.concerns(zone, number, now) for item in cuts)
 
     def renew(entry: Entry, now: float) -> None:
         reached = not cut(entry.zone, -1, now)
-        if now - entry.written >= SILENT_BEATS * HEARTBEAT:
+        if now - entry.written_at >= MISSED_HEARTBEATS_TO_LAPSE * HEARTBEAT:
             entry.present = False
-        if reached and now >= entry.leaves:
+        if reached and now >= entry.leaves_at:
             entry.present = False
             entry.gone_at = min(entry.gone_at, now)
-        elif now >= entry.next_beat:
-            entry.next_beat += HEARTBEAT
+        elif now >= entry.next_heartbeat:
+            entry.next_heartbeat += HEARTBEAT
             if reached:
-                entry.written, entry.present = now, True
+                entry.written_at, entry.present = now, True
 
     def call(instance: Instance, number: int, now: float) -> None:
         if cut(instance.zone, number, now):
@@ -169,27 +175,29 @@
         instance.contact.record_answer(now)
         instance.next_call = now + 0.25
         present = {n for n, entry in enumerate(entries) if entry.present}
-        instance.uses |= present
+        instance.used |= present
         instance.missing = set(range(len(entries))) - present
 
-    def look(instance: Instance) -> int:
-        """Drops what is missing and not kept; returns how many of these had not left."""
+    def drop_missing(instance: Instance) -> int:
+        """Drops the missing endpoints that are not kept; returns how many of these had not left."""
         lost = 0
-        for n in sorted(instance.missing & instance.uses):
+        for n in sorted(instance.missing & instance.used):
             entry = entries[n]
             witnesses = [
-                found for m, found in instance.told.items() if instances[m].zone == entry.zone
+                item for m, item in instance.contacts.items() if instances[m].zone == entry.zone
             ]
-            if now >= kept(instance.contact, witnesses):
-                instance.uses.discard(n)
-                lost += now < entry.leaves
+            if now >= keep_until(instance.contact, witnesses):
+                instance.used.discard(n)
+                lost += now < entry.leaves_at
         return lost
 
     def check(instance: Instance, number: int, now: float) -> None:
-        for n in instance.uses:
+        for n in instance.used:
             late = now - entries[n].gone_at
-            if now - instance.since_cut > CONTACT and late > BOUND:
-                raise AssertionError(f"seed {seed}: {number} uses what left {late:.2f} s ago")
+            if now - instance.last_cut_off > CONTACT and late > BOUND:
+                raise AssertionError(
+                    f"seed {seed}: {number} uses an endpoint that left {late:.2f} s ago"
+                )
 
     now = 0.0
     while now < SPAN:
@@ -198,54 +206,54 @@
             renew(entry, now)
         for number, instance in enumerate(instances):
             if cut(instance.zone, number, now):
-                instance.since_cut = now
+                instance.last_cut_off = now
             if now >= instance.next_call:
                 call(instance, number, now)
             if rng.random() < STEP / BEAT:
-                said = instance.contact.contact()
+                own_contact = instance.contact.contact()
                 for other in instances:
-                    if said is not None and other is not instance:
-                        other.told[number] = said
-            dropped += look(instance)
+                    if own_contact is not None and other is not instance:
+                        other.contacts[number] = own_contact
+            dropped += drop_missing(instance)
             check(instance, number, now)
     return dropped
 
 
-def sound(contact: StoreContact, witnesses: list[Contact]) -> float:
+def keep_as_implemented(contact: StoreContact, witnesses: list[Contact]) -> float:
     return contact.may_lapse_until(witnesses)
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_nothing_that_left_is_used_beyond_the_bound(seed: int) -> None:
-    play(seed, sound)
+def test_no_endpoint_that_left_is_used_beyond_the_bound(seed: int) -> None:
+    play(seed, keep_as_implemented)
 
 
-def own_notice(contact: StoreContact, witnesses: list[Contact]) -> float:
-    """Counts from this instance's own first answer, whatever came before it."""
-    known = contact.contact()
-    return known.since + TIMES.return_time if known is not None else NEVER
+def count_from_first_answer(contact: StoreContact, witnesses: list[Contact]) -> float:
+    """Counts from this instance's first answer after the outage, whatever calls failed before."""
+    last_contact = contact.contact()
+    return last_contact.since + TIMES.return_time if last_contact is not None else NEVER
 
 
-def any_failure(contact: StoreContact, witnesses: Iterable[Contact]) -> float:
-    """Keeps what is missing until the end."""
+def keep_forever(contact: StoreContact, witnesses: Iterable[Contact]) -> float:
+    """Keeps missing endpoints until the end."""
     return float("inf")
 
 
-@pytest.mark.parametrize("defect", [own_notice, any_failure])
-def test_a_planted_defect_is_caught(defect: Kept) -> None:
-    with pytest.raises(AssertionError, match="uses what left"):
+@pytest.mark.parametrize("defect", [count_from_first_answer, keep_forever])
+def test_a_planted_defect_is_caught(defect: KeepUntil) -> None:
+    with pytest.raises(AssertionError, match="uses an endpoint that left"):
         for seed in range(200):
             play(seed, defect)
 
 
-def test_what_lapsed_stays_in_use_where_all_were_without_the_store() -> None:
-    """The other side: dropped at once, lapsed endpoints are missing until they are back."""
+def test_lapsed_endpoints_stay_in_use_after_an_outage_of_the_store() -> None:
+    """Compares with dropping at once, where lapsed endpoints are unused until they are back."""
 
-    def at_once(contact: StoreContact, witnesses: list[Contact]) -> float:
+    def drop_at_once(contact: StoreContact, witnesses: list[Contact]) -> float:
         return NEVER
 
     seeds = range(60)
-    kept = sum(play(seed, sound, leaving=False) for seed in seeds)
-    lost = sum(play(seed, at_once, leaving=False) for seed in seeds)
+    kept = sum(play(seed, keep_as_implemented, leaving=False) for seed in seeds)
+    lost = sum(play(seed, drop_at_once, leaving=False) for seed in seeds)
     assert lost > 0
     assert kept < lost / 2
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Teams and keys: whose key it is, what endpoints are told, and what a configuration may say."""
+"""Teams and keys: whose key it is, what endpoints receive, and what a configuration may contain."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         ([(b"Authorization", b"Bearer \xff\xfe")], "\xff\xfe"),
     ],
 )
-def test_the_key_of_a_request(headers: list[tuple[bytes, bytes]], key: str | None) -> None:
+def test_key_is_read_from_the_headers(headers: list[tuple[bytes, bytes]], key: str | None) -> None:
     assert dialect.read_key(headers) == key
 
 
@@ -60,7 +60,7 @@
         (Teams([KeyedTeam(TEAM, [])]), KEY, False, KeyProblem.UNKNOWN),
     ],
 )
-def test_the_team_of_a_request(
+def test_team_is_found_by_the_key(
     teams: Teams | None, key: str | None, public: bool, expected: object
 ) -> None:
     assert team_of(teams, key, public) == expected
@@ -74,18 +74,18 @@
         [KeyedTeam(Team("a"), [""])],
     ],
 )
-def test_ambiguous_teams_are_an_error_that_tells_no_key(keyed: list[KeyedTeam]) -> None:
+def test_error_for_ambiguous_teams_contains_no_key(keyed: list[KeyedTeam]) -> None:
     with pytest.raises(ValueError, match="team") as raised:
         Teams(keyed)
     assert "'k'" not in str(raised.value)
 
 
-def test_keys_are_not_in_what_is_printed() -> None:
+def test_repr_contains_no_keys() -> None:
     assert KEY not in repr(KeyedTeam(TEAM, [KEY]))
     assert KEY not in repr([getattr(TEAMS, name) for name in TEAMS.__slots__])
 
 
-# What a configuration may say.
+# What a configuration may contain.
 
 GOOD: dict[str, Any] = {
     "name": "hule930",
@@ -98,7 +98,7 @@
 }
 
 
-def teams_of(**changes: Any) -> Teams | None:
+def decode_teams(**changes: Any) -> Teams | None:
     tenant = {name: value for name, value in {**GOOD, **changes}.items() if value is not ...}
     return records.decode_configuration(stored({**CONFIGURATION, "tenants": [tenant]})).teams
 
@@ -116,8 +116,8 @@
         ),
     ],
 )
-def test_a_team_in_the_configuration(changes: dict[str, Any], expected: Team) -> None:
-    teams = teams_of(**changes)
+def test_team_is_decoded_from_the_configuration(changes: dict[str, Any], expected: Team) -> None:
+    teams = decode_teams(**changes)
     assert teams is not None
     assert teams.team_by_key(KEY) == expected
     assert teams.get("hule930") == expected
@@ -137,16 +137,16 @@
         {"rate_per_s": "many"},
     ],
 )
-def test_a_team_that_cannot_be_read_is_an_error(changes: dict[str, Any]) -> None:
+def test_invalid_team_is_an_error(changes: dict[str, Any]) -> None:
     with pytest.raises(ValueError):
-        teams_of(**changes)
+        decode_teams(**changes)
 
 
 def test_without_teams_callers_need_no_keys() -> None:
     assert records.decode_configuration(stored(CONFIGURATION)).teams is None
 
 
-# What endpoints are told.
+# What endpoints receive.
 
 
 @pytest.mark.parametrize(
@@ -157,7 +157,7 @@
         (Dispatch("i-1", 1.0), [(b"Authorization", b"Bearer " + KEY.encode())]),
     ],
 )
-def test_a_key_goes_no_further_and_the_team_does(
+def test_team_is_forwarded_but_the_key_is_not(
     dispatch: Dispatch, expected: list[tuple[bytes, bytes]]
 ) -> None:
     sent = [
@@ -166,9 +166,9 @@
         (b"x-tenant", b"claimed again"),
         (b"X_Tenant", b"claimed otherwise"),
     ]
-    found = dialect.forward(sent, dispatch)
+    forwarded = dialect.forward(sent, dispatch)
     names = {b"authorization", b"x-tenant", b"x_tenant"}
-    assert [pair for pair in found if pair[0].lower() in names] == expected
+    assert [pair for pair in forwarded if pair[0].lower() in names] == expected
 
 
 NAMES = [
@@ -199,13 +199,13 @@
     st.lists(st.tuples(st.sampled_from(NAMES), st.sampled_from(VALUES)), max_size=12),
     st.sampled_from(["", "7"]),
 )
-def test_whatever_headers_came_the_endpoint_is_told_the_teams_name_only(
+def test_endpoint_gets_only_the_team_name_whatever_headers_were_sent(
     sent: list[tuple[str, str]], resume_after: str
 ) -> None:
     raw = [(name.encode(), value.encode()) for name, value in sent]
     dispatch = Dispatch("i-1", 1.0, 1, 1, resume_after, requires_key=True, team="hule930")
-    found = dialect.forward(raw, dispatch)
-    plain = [(name.lower().replace(b"_", b"-"), value) for name, value in found]
+    forwarded = dialect.forward(raw, dispatch)
+    plain = [(name.lower().replace(b"_", b"-"), value) for name, value in forwarded]
     assert [value for name, value in plain if name == b"x-tenant"] == [b"hule930"]
     assert b"authorization" not in dict(plain)
     assert b"proxy-authorization" not in dict(plain)
@@ -221,5 +221,7 @@
         ({}, None),
     ],
 )
-def test_tokens_that_a_quota_counts(headers: dict[str, str], tokens: int | None) -> None:
+def test_token_counts_are_read_from_the_headers(
+    headers: dict[str, str], tokens: int | None
+) -> None:
     assert dialect.read_terms(headers).tokens == tokens
