--- a/packages/wigeonarch-entry/src/wigeonarch_entry/__init__.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry instance: tasks that own sockets and feed messages to the decisions of the core."""
+"""The entry instance: asyncio tasks that own the sockets and apply the decisions of the core."""
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/__main__.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the binary `wigeonarch` as a module."""
+"""Runs the command line of `wigeonarch` as a module: `python -m wigeonarch_entry`."""
 
 import sys
 
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/attempts.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/attempts.py
@@ -1,4 +1,4 @@
-"""What one attempt to run a request comes to, and what is kept between attempts."""
+"""The failure of one attempt to run a request, and the state kept between its attempts."""
 
 from __future__ import annotations
 
@@ -8,13 +8,20 @@
 from wigeonarch_core.lifecycle import Event, Phase, may_retry_same_endpoint
 from wigeonarch_core.outcomes import Outcome, Reason
 
-# Seconds after which a request that found no endpoint, or lost it, may find another.
+# Seconds after which a request that found no endpoint, or lost its endpoint, should be retried.
 NO_ENDPOINT_RETRY: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAttempt:
-    """What ended an attempt without an answer."""
+    """Why an attempt ended without an answer.
+
+    Attributes:
+        phase: How far the dispatch had come.
+        event: What happened to it.
+        reason: Why.
+        retry_after: Seconds after which a new attempt makes sense; 0 when unknown.
+    """
 
     phase: Phase
     event: Event
@@ -24,14 +31,14 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What has happened to one request so far.
+    """State of one request over all its attempts.
 
     Attributes:
-        tried: Endpoints that it is sent to again only when there is no other.
-        refused: Endpoints that it is not sent to again.
+        avoided: Endpoints that get the request again only if there is no other.
+        excluded: Endpoints that do not get the request again.
         retries: Number of attempts after the first.
-        shown: Whether part of an answer has gone to the caller.
-        told: What the caller would be told if the attempts so far were all.
+        streamed: Whether part of an answer has been sent to the caller.
+        outcome: Outcome of the request if there is no further attempt; None before the first ends.
     """
 
     avoided: set[str] = field(default_factory=set)
@@ -40,6 +47,6 @@
     streamed: bool = False
     outcome: Outcome | None = None
 
-    def record_failure(self, endpoint: str, mishap: FailedAttempt) -> None:
-        """Notes an attempt that an endpoint, or its owner, did not answer."""
-        (self.avoided if may_retry_same_endpoint(mishap.reason) else self.excluded).add(endpoint)
+    def record_failure(self, endpoint: str, failure: FailedAttempt) -> None:
+        """Records an attempt that failed at an endpoint or was refused by the endpoint's owner."""
+        (self.avoided if may_retry_same_endpoint(failure.reason) else self.excluded).add(endpoint)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/calling.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/calling.py
@@ -1,4 +1,4 @@
-"""One attempt at a call to a plain service: choose an endpoint, call it."""
+"""Attempts to call a plain service: each chooses an endpoint and calls it once."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ServiceCallAttempts:
-    """Attempts at calls to plain services."""
+    """Makes single attempts to call plain services."""
 
     __slots__ = ("_endpoints", "_journal", "_rng", "_services", "_zone")
 
@@ -39,7 +39,7 @@
         self._rng = rng
 
     async def run(self, req: Request, work: Call, progress: Progress) -> Outcome | FailedAttempt:
-        """Makes one attempt: chooses an endpoint and calls it."""
+        """Makes one attempt; returns the outcome, or the failure that ended the attempt."""
         endpoint = self._choose(work, progress)
         if endpoint is None:
             return self._endpoints.no_endpoint(req.service)
@@ -59,18 +59,18 @@
         self._endpoints.call_started(endpoint)
         reply = await self._services.call(endpoint.listed.address, call)
         if isinstance(reply, CallBroken):
-            failed = reply.event is Event.CONNECT_FAILED
-            phase = Phase.QUEUED if failed else Phase.SENT
-            mishap = FailedAttempt(phase, reply.event, reply.reason, NO_ENDPOINT_RETRY)
-            progress.record_failure(name, mishap)
-            self._endpoints.call_ended(endpoint, mishap)
-            return mishap
+            not_connected = reply.event is Event.CONNECT_FAILED
+            phase = Phase.QUEUED if not_connected else Phase.SENT
+            failure = FailedAttempt(phase, reply.event, reply.reason, NO_ENDPOINT_RETRY)
+            progress.record_failure(name, failure)
+            self._endpoints.call_ended(endpoint, failure)
+            return failure
         self._endpoints.call_ended(endpoint, reply)
         if reply.status >= _MIN_ERROR_STATUS:
             return Failed(Reason.ENDPOINT_ERROR, reply.status, reply.body)
         return Answered(reply.body)
 
     def _choose(self, work: Call, progress: Progress) -> Endpoint | None:
-        serving = self._endpoints.candidates(work.service, progress)
-        near = [e for e in serving if e.listed.zone == self._zone]
-        return self._rng.choice(near or serving) if serving else None
+        candidates = self._endpoints.candidates(work.service, progress)
+        same_zone = [e for e in candidates if e.listed.zone == self._zone]
+        return self._rng.choice(same_zone or candidates) if candidates else None
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/changefeed.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/changefeed.py
@@ -1,8 +1,9 @@
-"""Reads the log of changes: whole at the start and after each doubt, then by watch.
+"""Follows the change log of the platform: reads all of it at the start, then watches it.
 
-A watch alone can go silent, miss elements or outlive a pause of this process. So the log is listed
-again whenever there is a reason: a broken watch, a gap, a lease that began anew, or a peer that has
-more in force. Whether the log goes on from what is in force here is judged by the core.
+A watch alone is not reliable: it can go silent, miss changes or outlive a pause of this process. So
+the log is read again whenever the local copy may be incomplete: after a broken watch, on a gap in
+the numbers of the changes, after a new lease period has begun, or when a peer has applied more
+changes. `wigeonarch_core.replica` decides whether the log continues what has been applied here.
 """
 
 from __future__ import annotations
@@ -24,16 +25,18 @@
 from wigeonarch_entry.snapshots import SnapshotReader
 
 PAGE_SIZE: Final = 500
+# Seconds between attempts to follow the log, and between checks whether a read is due.
 MIN_RETRY_PAUSE: Final = 0.5
 MAX_RETRY_PAUSE: Final = 5.0
 CHECK_INTERVAL: Final = 0.1
-# Many instances learn of the same change at once; each asks the platform a little later.
+# Many instances learn of the same change at once; random delays of up to this many seconds spread
+# their reads.
 MAX_READ_DELAY: Final = 0.2
 MAX_READ_ATTEMPTS: Final = 3
 
 
 class ChangeFeed:
-    """The way of changes from the platform to the copy of this instance."""
+    """Passes changes from the log in the platform to the replica of this instance."""
 
     __slots__ = (
         "_is_read_due",
@@ -49,15 +52,23 @@
         self,
         platform: PlatformClient,
         replica: Replica,
-        silence: float,
-        due: Callable[[], bool],
+        watch_timeout: float,
+        is_read_due: Callable[[], bool],
         metrics: Metrics,
     ) -> None:
-        """Makes the feed; `due` tells whether the log is to be read again."""
+        """Makes the feed.
+
+        Args:
+            platform: Client of the platform.
+            replica: The copy of the configuration that the changes are added to.
+            watch_timeout: Seconds without data after which a watch counts as broken.
+            is_read_due: Tells whether the log must be read again.
+            metrics: Metrics of this instance.
+        """
         self._platform = platform
         self._replica = replica
-        self._watch_timeout = silence
-        self._is_read_due = due
+        self._watch_timeout = watch_timeout
+        self._is_read_due = is_read_due
         self._metrics = metrics
         self._read_lock = asyncio.Lock()
         self._snapshots = SnapshotReader(platform)
@@ -69,7 +80,7 @@
             tasks.create_task(self._run_rereads())
 
     def add(self, number: int, change: Change) -> None:
-        """Takes one element of the log."""
+        """Adds change `number` to the replica and logs the verdict on each change applied."""
         for result in self._replica.add(number, change):
             log("change_applied", number=result.number, verdict=result.verdict)
         self._metrics.configuration_applied.set(self._replica.catalogue.applied)
@@ -78,42 +89,48 @@
         """Reads the log to its end.
 
         Returns:
-            The revision that a watch is to start from; None when the platform gave no answer.
+            The revision that a watch should start from; None when the log could not be read.
         """
         async with self._read_lock:
-            began = monotonic()
+            started_at = monotonic()
             revision = await self._read_log()
-            self._replica.record_read(began, revision is not None)
+            self._replica.record_read(started_at, revision is not None)
             return revision
 
     async def _read_log(self) -> int | None:
         for _ in range(MAX_READ_ATTEMPTS):
-            mark = position_of(self._replica.catalogue)
-            page = await self._list_page(change_name(max(mark.applied - 1, 0)))
+            position = position_of(self._replica.catalogue)
+            page = await self._list_page(change_name(max(position.applied - 1, 0)))
             if isinstance(page, Unavailable):
                 return None
-            tail = await self._compare_log(mark, page)
-            if tail is None:
+            comparison = await self._compare_log(position, page)
+            if comparison is None:
                 return None
-            if self._replica.record_comparison(tail):
-                event = "log_went_back" if tail is LogComparison.ROLLED_BACK else "log_is_back"
-                log(event, "ERROR", applied=mark.applied, operation=mark.last)
-            if tail is not LogComparison.TRIMMED:
+            if self._replica.record_comparison(comparison):
+                event = (
+                    "log_went_back" if comparison is LogComparison.ROLLED_BACK else "log_is_back"
+                )
+                log(event, "ERROR", applied=position.applied, operation=position.last)
+            if comparison is not LogComparison.TRIMMED:
                 return await self._add_pages(page)
         return None
 
-    async def _compare_log(self, mark: LogPosition, page: Page) -> LogComparison | None:
-        """Compares the log with the copy; a snapshot is loaded when the log begins later."""
+    async def _compare_log(self, position: LogPosition, page: Page) -> LogComparison | None:
+        """Compares the log with the replica; loads a snapshot if the log was trimmed past it.
+
+        Returns:
+            The result of the comparison; None when the platform gave no answer.
+        """
         first = next(iter(_changes_of(page)), None)
-        if mark.applied and compare_log(mark, first, 0) is LogComparison.SAME:
+        if position.applied and compare_log(position, first, 0) is LogComparison.SAME:
             return LogComparison.SAME
         number = await self._snapshots.newest_number()
         if number is None:
             return None
-        tail = compare_log(mark, first, number)
-        if tail is LogComparison.TRIMMED and not await self._load_snapshot():
+        comparison = compare_log(position, first, number)
+        if comparison is LogComparison.TRIMMED and not await self._load_snapshot():
             return None
-        return tail
+        return comparison
 
     async def _load_snapshot(self) -> bool:
         snapshot = await self._snapshots.read()
@@ -131,10 +148,10 @@
                 self.add(number, change)
             if not page.more:
                 return revision
-            following = await self._list_page(page.items[-1].name)
-            if isinstance(following, Unavailable):
+            next_page = await self._list_page(page.items[-1].name)
+            if isinstance(next_page, Unavailable):
                 return None
-            page = following
+            page = next_page
 
     async def _list_page(self, after: str) -> Page | Unavailable:
         return await self._platform.list(CHANGES, after, PAGE_SIZE)
@@ -146,7 +163,7 @@
             if revision is not None:
                 pause = MIN_RETRY_PAUSE
                 await self._watch(revision)
-            # Full jitter keeps many instances from coming back at the same moment.
+            # Full jitter keeps many instances from reconnecting at the same moment.
             await asyncio.sleep(random.uniform(0, pause))
             pause = min(pause * 2, MAX_RETRY_PAUSE)
 
@@ -159,7 +176,7 @@
                 self.add(int(event.name), _decode_change(event.value))
 
     async def _run_rereads(self) -> None:
-        """Reads the log again whenever there is a reason, with growing pauses while it fails."""
+        """Reads the log again whenever a read is due, with growing pauses while it stays due."""
         pause = MIN_RETRY_PAUSE
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/claims.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/claims.py
@@ -1,4 +1,8 @@
-"""Ownership writes: carries out what the plan says, and keeps the owned engines in step."""
+"""Claims, hands over and drops the ownership of engines.
+
+The moves to make are planned by `wigeonarch_core.ownership`; this module executes them in the
+platform and keeps the set of owned engines up to date.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +27,16 @@
 from wigeonarch_entry.owned import OwnedEngine, OwnerContext
 from wigeonarch_entry.platform import Found, Missing, Unavailable, Written
 
+# Seconds between two plans of ownership moves.
 PLAN_INTERVAL: Final = 0.25
 
 
 class OwnershipClaims:
-    """Keeps the ownerships of this instance.
+    """Manages the engines that this instance owns.
 
     Attributes:
-        begun: Whether it has once tried, with a lease, to own what is free in its zone.
+        first_pass_done: Whether this instance, holding its lease, has tried once to claim the
+            engines of its zone that have no owner.
     """
 
     __slots__ = (
@@ -47,21 +53,29 @@
         self,
         ctx: OwnerContext,
         hand_overs: HandOvers,
-        begin: Callable[[OwnedEngine], None],
-        end: Callable[[OwnedEngine], None],
-        given: Callable[[Moved], None],
+        on_owned: Callable[[OwnedEngine], None],
+        on_dropped: Callable[[OwnedEngine], None],
+        on_handed_over: Callable[[Moved], None],
     ) -> None:
-        """Makes the keeper; it calls back as engines are owned, dropped and handed over."""
+        """Makes the manager of ownerships.
+
+        Args:
+            ctx: Context of the owner duties.
+            hand_overs: Hand-overs of engines, in both directions.
+            on_owned: Called when an engine is owned.
+            on_dropped: Called when an engine is no longer owned and was not handed over.
+            on_handed_over: Called when an engine has been handed over.
+        """
         self._ctx = ctx
         self._hand_overs = hand_overs
-        self._on_owned = begin
-        self._on_dropped = end
-        self._on_handed_over = given
+        self._on_owned = on_owned
+        self._on_dropped = on_dropped
+        self._on_handed_over = on_handed_over
         self._hand_over_tasks: set[asyncio.Task[None]] = set()
         self.first_pass_done = False
 
     async def run(self) -> None:
-        """Plans and writes until cancelled."""
+        """Plans and executes ownership moves until cancelled."""
         while True:
             now = monotonic()
             self.adopt_offered(now)
@@ -74,7 +88,7 @@
             await asyncio.sleep(PLAN_INTERVAL)
 
     def local_state(self) -> LocalState:
-        """Returns what the plan depends on."""
+        """Returns the state of this instance that the plan depends on."""
         membership = self._ctx.membership
         holdings = {
             engine: owned.engine_grants.ownership for engine, owned in self._ctx.owned.items()
@@ -88,9 +102,9 @@
         if isinstance(move, Claim):
             await self._claim(move)
             return
-        work = asyncio.create_task(self.hand_over(move))
-        self._hand_over_tasks.add(work)
-        work.add_done_callback(self._hand_over_tasks.discard)
+        task = asyncio.create_task(self.hand_over(move))
+        self._hand_over_tasks.add(task)
+        task.add_done_callback(self._hand_over_tasks.discard)
 
     # Claims -----------------------------------------------------------------------------------
 
@@ -107,42 +121,47 @@
             result = await self._ctx.platform.create(OWNERS, claim.engine, record)
         self._ctx.metrics.ownership_moves.labels("claim", type(result).__name__.lower()).inc()
         if not isinstance(result, Written):
-            # A lost answer shows as an ownership of ours that is not confirmed; it is written anew.
+            # If only the answer was lost, the ownership turns out to be ours but not confirmed, and
+            # the next plan writes it again.
             await self.refresh_owner(claim.engine)
             return
         self._ctx.fleet.observe_owner(record, result.version)
         now = monotonic()
-        # A write that was answered in another stretch of the lease proves nothing for this one.
+        # The write counts only if the lease has held without a break until its answer.
         if lease.is_valid(now) and lease.generation == generation:
             self._apply_claim(claim, HeldOwnership(result.version, generation, now))
 
-    async def _confirm_vacant(self, last: Ownership) -> bool:
-        """Reads the last owner's lease afresh, as a watch may lag behind its renewals."""
+    async def _confirm_vacant(self, previous: Ownership) -> bool:
+        """Checks that the last owner can no longer act.
+
+        Its lease is read from the platform, as the watch may lag behind its renewals.
+        """
         fleet = self._ctx.fleet
-        found = await self._ctx.platform.get(LEASES, last.owner)
+        found = await self._ctx.platform.get(LEASES, previous.owner)
         if isinstance(found, Unavailable):
             return False
         now = monotonic()
         if isinstance(found, Missing):
-            fleet.observe_lease_deleted(last.owner)
+            fleet.observe_lease_deleted(previous.owner)
         else:
             fleet.observe_lease(msgspec.convert(found.value, LeaseRecord), found.version, now)
-        return ownership.may_take_over(fleet, self.local_state(), last, now)
+        return ownership.may_take_over(fleet, self.local_state(), previous, now)
 
     async def refresh_owner(self, engine: str) -> None:
-        """Reads who owns an engine."""
+        """Reads an engine's owner from the platform."""
         found = await self._ctx.platform.get(OWNERS, engine)
         if isinstance(found, Found):
             record = msgspec.convert(found.value, OwnerRecord)
             self._ctx.fleet.observe_owner(record, found.version)
 
     def _apply_claim(self, claim: Claim, holding: HeldOwnership) -> None:
-        known = self._ctx.owned.get(claim.engine)
-        if known is not None:
-            # Nobody else has owned it since: the conditional write says so. Its pins still hold.
-            known.engine_grants.ownership = holding
-            known.engine_grants.announced = not self._checks_fence(claim.engine)
-            known.wake.set()
+        owned = self._ctx.owned.get(claim.engine)
+        if owned is not None:
+            # The conditional write shows that no other instance has owned the engine in between, so
+            # its pins are still valid.
+            owned.engine_grants.ownership = holding
+            owned.engine_grants.announced = not self._checks_fence(claim.engine)
+            owned.wake.set()
             log("engine_kept", engine=claim.engine, fence=holding.fence)
             return
         quarantine = self._new_quarantine() if claim.expected else None
@@ -152,15 +171,15 @@
         timing, policy = self._ctx.opts.timing, self._ctx.opts.policy
         margins = policy.pin_margin + timing.lease_margin
         bounds = QuarantineBounds(timing.grant_validity + margins, timing.max_deadline + margins)
-        askers = [self._ctx.opts.instance, *self._ctx.fleet.peers]
-        return TakeoverQuarantine(bounds, askers, monotonic())
+        requesters = [self._ctx.opts.instance, *self._ctx.fleet.peers]
+        return TakeoverQuarantine(bounds, requesters, monotonic())
 
     def _start_owning(
         self, engine: str, holding: HeldOwnership, quarantine: TakeoverQuarantine | None
     ) -> OwnedEngine:
         opts = self._ctx.opts
         service = self._ctx.fleet.endpoints[engine].listed.service
-        custody = EngineGrants(
+        engine_grants = EngineGrants(
             engine,
             holding,
             quarantine,
@@ -168,8 +187,8 @@
             validity=opts.timing.grant_validity + opts.timing.lease_margin,
         )
         scheduler = EngineScheduler(engine, opts.policy, holding.since, service=service)
-        scheduler.may_evict = custody.may_evict
-        owned = OwnedEngine(custody, scheduler)
+        scheduler.may_evict = engine_grants.may_evict
+        owned = OwnedEngine(engine_grants, scheduler)
         self._ctx.owned[engine] = owned
         self._ctx.metrics.engines_owned.set(len(self._ctx.owned))
         stage = quarantine.stage(holding.since) if quarantine else "none"
@@ -184,65 +203,66 @@
     # Hand-overs ---------------------------------------------------------------------------------
 
     def adopt_offered(self, now: float) -> None:
-        """Begins to own the engines that were handed to this instance."""
+        """Starts to own the engines that were handed over to this instance."""
         for engine in self._hand_overs.offered_engines():
             offered = self._hand_overs.take_effective_offer(engine, now)
             if offered is None or engine in self._ctx.owned:
                 continue
             if engine not in self._ctx.fleet.endpoints:
                 continue
-            held = self._ctx.fleet.owners[engine]
-            holding = HeldOwnership(held.fence, offered.generation, now)
+            owner = self._ctx.fleet.owners[engine]
+            holding = HeldOwnership(owner.fence, offered.generation, now)
             owned = self._start_owning(engine, holding, None)
             self._hand_overs.adopt_offer(owned, offered, now)
 
     async def hand_over(self, move: HandOver) -> None:
         """Hands one engine over and stops owning it."""
-        moved = await self._hand_overs.hand_over(move)
+        message = await self._hand_overs.hand_over(move)
         owned = self._ctx.owned.get(move.engine)
         if owned is None:
             return
-        if moved is None:
-            # Counts as owned from now on, so that it is not tried again at once.
-            custody = owned.engine_grants
-            custody.ownership = replace(custody.ownership, since=monotonic())
+        if message is None:
+            # A new start time delays the next attempt, as an engine is kept for some time before it
+            # is handed over.
+            engine_grants = owned.engine_grants
+            engine_grants.ownership = replace(engine_grants.ownership, since=monotonic())
             return
-        self._drop(owned, told=True)
-        self._on_handed_over(moved)
+        self._drop(owned, handed_over=True)
+        self._on_handed_over(message)
 
     # Drops --------------------------------------------------------------------------------------
 
     def drop_lost(self) -> None:
-        """Stops owning engines that have another owner or are gone."""
+        """Stops owning engines that have another owner or are no longer listed."""
         for engine, owned in list(self._ctx.owned.items()):
             if owned.engine_grants.handing_over:
                 continue
-            held = self._ctx.fleet.owners.get(engine)
-            lost = held is not None and held.fence > owned.fence and not self._is_mine(held)
+            owner = self._ctx.fleet.owners.get(engine)
+            lost = owner is not None and owner.fence > owned.fence and not self._is_mine(owner)
             if lost or engine not in self._ctx.fleet.endpoints:
-                self._drop(owned, told=False)
+                self._drop(owned, handed_over=False)
 
-    def _is_mine(self, held: Ownership) -> bool:
-        return (held.owner, held.boot) == self._ctx.identity
+    def _is_mine(self, owner: Ownership) -> bool:
+        return (owner.owner, owner.boot) == self._ctx.identity
 
-    def _drop(self, owned: OwnedEngine, told: bool) -> None:
+    def _drop(self, owned: OwnedEngine, handed_over: bool) -> None:
         del self._ctx.owned[owned.engine]
         for task in list(owned.tasks):
             task.cancel()
-        if not told:
+        if not handed_over:
             self._on_dropped(owned)
         self._ctx.metrics.engines_owned.set(len(self._ctx.owned))
-        log("engine_dropped", engine=owned.engine, fence=owned.fence, handed_over=told)
+        log("engine_dropped", engine=owned.engine, fence=owned.fence, handed_over=handed_over)
 
     async def vacate_all(self) -> None:
-        """Gives up all engines in the store and stops owning them; asks that wait are refused."""
+        """Marks all owned engines as vacant in the platform; refuses their waiting requests."""
         await asyncio.gather(*(self._vacate(owned) for owned in self._ctx.owned.values()))
 
     async def _vacate(self, owned: OwnedEngine) -> None:
         if await self._hand_overs.vacate(owned) and owned.engine in self._ctx.owned:
-            self._drop(owned, told=False)
+            self._drop(owned, handed_over=False)
 
     def drop_all(self) -> None:
-        """Stops owning everything; the instance stops."""
+        """Stops owning all engines, as the instance stops."""
         for owned in list(self._ctx.owned.values()):
-            self._drop(owned, told=False)
+            self._drop(owned, handed_over=False)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/cli.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/cli.py
@@ -1,4 +1,4 @@
-"""The binary `wigeonarch`."""
+"""Command line of the `wigeonarch` executable."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs the command line; returns the exit code."""
+    """Runs the command given in `argv` and returns the exit code."""
     args = _make_parser().parse_args(argv)
     opts = _read_settings(args.settings)
     if isinstance(opts, BadSettings):
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/completions.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/completions.py
@@ -1,8 +1,8 @@
-"""The documents of the completion calls, in the form that OpenAI's clients send and expect.
+"""JSON documents of the two completion calls, compatible with OpenAI's API.
 
-A body decodes to one `Ask`, whichever of the two calls it came by; an `Ask` carries the `Form` that
-shapes the answer. Unknown keys are ignored, as clients of this form send many (`temperature`,
-`stream_options`); a known key with a wrong type is refused with the JSON path of the fault.
+The bodies of both calls decode to a `CompletionRequest`, whose `ResponseBuilder` makes the
+documents of the response. Unknown keys are ignored, as clients of this API send many
+(`temperature`, `stream_options`); a known key of the wrong type is refused with its JSON path.
 """
 
 from __future__ import annotations
@@ -32,21 +32,24 @@
 
 
 class TextPart(msgspec.Struct):
-    """One part of a message's content; only text can be served."""
+    """One part of a message's content; only text parts are supported."""
 
     type: Literal["text"]
     text: str
 
 
 class ChatMessage(msgspec.Struct):
-    """One message of a chat; a reply that only called tools has no content."""
+    """One message of a chat; an assistant's message that only calls tools has no content."""
 
     role: str
     content: str | list[TextPart] | None = None
 
 
 class ChatCompletion(msgspec.Struct):
-    """Body of `POST /v1/chat/completions`; `max_completion_tokens` is the newer name."""
+    """Body of `POST /v1/chat/completions`.
+
+    `max_completion_tokens` is the newer name of `max_tokens` and takes precedence.
+    """
 
     model: str
     messages: list[ChatMessage]
@@ -58,14 +61,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseBuilder:
-    """How one of the two calls shapes its documents.
+    """Makes the documents of one call's responses.
 
     Attributes:
-        whole: Object type of a whole answer.
-        piece: Object type of one event of a stream.
-        answer: Makes the choice of a whole answer from its text.
-        delta: Makes the choice of one event from the text that it adds.
-        opening: Makes the choice of the event that begins a stream; None for no such event.
+        object_type: Value of `object` in a complete answer.
+        chunk_object_type: Value of `object` in one chunk of a stream.
+        make_choice: Makes the `choices` item of a complete answer from its text.
+        make_chunk_choice: Makes the `choices` item of a chunk from the text that it adds.
+        first_chunk_choice: The `choices` item of the chunk sent before any text; None if the stream
+            has no such chunk.
     """
 
     object_type: str
@@ -77,7 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionRequest:
-    """What a caller asks for by one of the two calls."""
+    """A caller's request to one of the two calls.
+
+    `max_tokens` is 0 if the caller did not set it.
+    """
 
     model: str
     prompt: str
@@ -98,7 +105,7 @@
 
 
 def parse_chat_completion(body: bytes) -> CompletionRequest | NotRun:
-    """Decodes the body of `POST /v1/chat/completions`; the prompt is one line a message."""
+    """Decodes the body of `POST /v1/chat/completions`; the prompt has one line per message."""
     doc = _decode(body, ChatCompletion)
     if isinstance(doc, NotRun):
         return doc
@@ -109,43 +116,60 @@
     return _make_request(doc, prompt, tokens, CHAT)
 
 
-def answer_doc(req: Request, form: ResponseBuilder, outcome: Answered) -> dict[str, Any]:
-    """Returns the document of a whole answer."""
-    choice = form.make_choice(outcome.text)
-    # Engines do not tell how many tokens a prompt had; clients expect the keys all the same.
+def answer_doc(req: Request, builder: ResponseBuilder, outcome: Answered) -> dict[str, Any]:
+    """Returns the document of a complete answer."""
+    choice = builder.make_choice(outcome.text)
+    # Engines do not report a prompt's number of tokens, but clients expect all three keys.
     usage = {
         "prompt_tokens": 0,
         "completion_tokens": outcome.tokens,
         "total_tokens": outcome.tokens,
     }
-    return _doc(req, form, form.object_type, choice, outcome.finish) | {"usage": usage}
+    return _doc(req, builder, builder.object_type, choice, outcome.finish) | {"usage": usage}
 
 
-def first_chunk_doc(req: Request, form: ResponseBuilder) -> dict[str, Any] | None:
-    """Returns the event that begins a stream, if the form has one."""
-    if form.first_chunk_choice is None:
+def first_chunk_doc(req: Request, builder: ResponseBuilder) -> dict[str, Any] | None:
+    """Returns the chunk that is sent before any text; None if the call has none."""
+    if builder.first_chunk_choice is None:
         return None
-    return _doc(req, form, form.chunk_object_type, form.first_chunk_choice, None)
+    return _doc(
+        req,
+        builder,
+        builder.chunk_object_type,
+        builder.first_chunk_choice,
+        None,
+    )
 
 
-def chunk_doc(req: Request, form: ResponseBuilder, text: str, finish: str | None) -> dict[str, Any]:
-    """Returns one event of a stream; the last one of an answer names why it finished."""
-    return _doc(req, form, form.chunk_object_type, form.make_chunk_choice(text), finish)
+def chunk_doc(
+    req: Request, builder: ResponseBuilder, text: str, finish: str | None
+) -> dict[str, Any]:
+    """Returns one chunk of a stream; only the last chunk has a finish reason."""
+    return _doc(
+        req,
+        builder,
+        builder.chunk_object_type,
+        builder.make_chunk_choice(text),
+        finish,
+    )
 
 
-def _decode(body: bytes, form: type[Body]) -> Body | NotRun:
+def _decode(body: bytes, body_type: type[Body]) -> Body | NotRun:
     try:
-        return msgspec.json.decode(body, type=form)
+        return msgspec.json.decode(body, type=body_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         return NotRun(Reason.MALFORMED, detail=str(exc))
 
 
 def _make_request(
-    doc: Completion | ChatCompletion, prompt: str, tokens: int | None, form: ResponseBuilder
+    doc: Completion | ChatCompletion,
+    prompt: str,
+    tokens: int | None,
+    builder: ResponseBuilder,
 ) -> CompletionRequest | NotRun:
     if doc.n not in (None, 1):
         return NotRun(Reason.MALFORMED, detail=BAD_CHOICE_COUNT)
-    return CompletionRequest(doc.model, prompt, tokens or 0, bool(doc.stream), form)
+    return CompletionRequest(doc.model, prompt, tokens or 0, bool(doc.stream), builder)
 
 
 def _message_text(message: ChatMessage) -> str:
@@ -155,14 +179,18 @@
 
 
 def _doc(
-    req: Request, form: ResponseBuilder, kind: str, choice: dict[str, Any], finish: str | None
+    req: Request,
+    builder: ResponseBuilder,
+    object_type: str,
+    choice: dict[str, Any],
+    finish: str | None,
 ) -> dict[str, Any]:
-    assert isinstance(req.work, Generate), "only generation has this form"
+    assert isinstance(req.work, Generate), "only text generation has these documents"
     return {
         "id": req.id,
-        "object": kind,
+        "object": object_type,
         "created": int(time.time()),
-        # The version that answers, also when the routing rule chose it.
+        # The adapter version that answers, even if a routing rule chose it.
         "model": str(req.work.target),
         "choices": [{"index": 0, "logprobs": None, "finish_reason": finish} | choice],
     }
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/configuration.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/configuration.py
@@ -1,9 +1,10 @@
-"""The configuration of this instance: changes made through it, and whether it may serve.
+"""Holds the configuration of this instance, appends changes to it, and decides whether to serve.
 
-`changes/N` is created if absent, so the log has one order and two operators cannot both win N. A
-change is accepted only once every instance that may serve has it in force; until then it is
-pending, and the reply says who lacks it. The rules are in the core (`catalogue`, `acceptance`,
-`serving_right`); this module asks the platform and the peers for what they need.
+A change is appended by creating the object `changes/N` on condition that it is absent, so the log
+has a single order and two operators cannot both write change N. A change is accepted only once
+every instance that may serve has applied it; until then it is pending, and the reply names the
+instances that lack it. The rules are in the core (`catalogue`, `acceptance`, `serving_right`); this
+module collects what they need from the platform and the peers.
 """
 
 from __future__ import annotations
@@ -36,15 +37,15 @@
 from wigeonarch_entry.platform import Conflict, Found, PlatformClient, Unavailable, Written
 from wigeonarch_entry.snapshots import SnapshotWriter
 
-POLL_INTERVAL: Final = 0.02
+POLL_INTERVAL: Final = 0.02  # Seconds.
 LOST_ANSWER_ATTEMPTS: Final = 3
 APPEND_ATTEMPTS: Final = 50
-RETRY_AFTER: Final = 2.0
-# For how many readings of the platform's list an instance without a lease still counts when it is
-# not on it: the list is behind the truth.
+RETRY_AFTER: Final = 2.0  # Seconds.
+# Read intervals of the platform's list for which an instance without a lease still counts although
+# the list does not name it: the list lags behind the real state.
 LIST_GRACE_INTERVALS: Final = 10
-# Peers are told of a change at once; only one that is behind for longer makes the log be read.
-BEHIND_GRACE: Final = 0.5
+# Peers are notified of a change at once; only an instance that is behind for longer reads the log.
+BEHIND_GRACE: Final = 0.5  # Seconds.
 
 LOG_ROLLED_BACK: Final = (
     "the log of changes in the platform ends before the configuration in force, or differs from "
@@ -55,7 +56,7 @@
 
 
 class ChangeStatus(enum.StrEnum):
-    """Where a change stands, as its operator is told."""
+    """Status of a change, as reported to its operator."""
 
     ACCEPTED = "accepted"
     PENDING = "pending"
@@ -66,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeReply:
-    """What an operator is told about a change.
+    """Reply to the operator who made a change or asked about it.
 
     Attributes:
-        standing: Where it stands.
-        result: The log's verdict, once there is one.
-        lagging: Who lacks it, while it is pending.
-        message: What to do, for people.
-        retry_after: Seconds after which asking again makes sense.
+        status: Status of the change.
+        result: Its number and the verdict on it; None while it is not known to be in the log.
+        lagging: Instances that lack it while it is pending.
+        message: Explanation for the operator, with what to do where something can be done.
+        retry_after: Seconds after which the operator should ask again.
     """
 
     status: ChangeStatus
@@ -93,7 +94,7 @@
     """The configuration of this instance.
 
     Attributes:
-        replica: Its copy of the state.
+        replica: The copy of the configuration, with the changes applied so far.
     """
 
     __slots__ = (
@@ -132,13 +133,13 @@
         self._list_grace_seconds = LIST_GRACE_INTERVALS * timing.list_interval
         self._newest_known = 0
         self._behind_since: float | None = None
-        # Why nothing may be served, and whether the lease holds, as last logged.
+        # The refusal reason, and whether the lease was valid, when they were last logged.
         self._logged_state: tuple[Reason | None, bool] = (Reason.NO_CONFIGURATION, False)
         self._highest_accepted = 0
 
     @property
     def catalogue(self) -> Catalogue:
-        """The catalogue in force here."""
+        """The catalogue as of the last change applied here."""
         return self.replica.catalogue
 
     @property
@@ -146,34 +147,40 @@
         return self._membership.fleet
 
     async def run(self) -> None:
-        """Keeps the copy up to date until cancelled."""
+        """Keeps the replica up to date and writes snapshots of it until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._feed.run())
             tasks.create_task(self._snapshots.run())
 
     def refusal_reason(self) -> Reason | None:
-        """Tells why no request may be served on the state in force; judged by the clock, now."""
+        """Returns why no request may be served now, by the local clock; None when one may."""
         return serving_right.refusal_reason(self._serving_state(monotonic()))
 
     def handle_change_notice(self, notice: ChangeNotice) -> None:
-        """Takes a change that a peer has written to the log."""
+        """Adds a change that a peer has written to the log."""
         self._feed.add(notice.number, notice.change)
         self._record_newest(notice.number)
 
-    def handle_heartbeat(self, beat: Heartbeat) -> None:
-        """Takes a peer's word about itself."""
-        self._record_newest(beat.applied)
-        if beat.zone == self._fleet.zone:
-            peer = ZonePeer(beat.instance, beat.echo, beat.leased, beat.reaches, beat.applied)
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Records how far a peer has applied the log, and its state if it is in the same zone."""
+        self._record_newest(heartbeat.applied)
+        if heartbeat.zone == self._fleet.zone:
+            peer = ZonePeer(
+                heartbeat.instance,
+                heartbeat.echo,
+                heartbeat.leased,
+                heartbeat.reaches,
+                heartbeat.applied,
+            )
             self._zone_view.record(peer)
 
     async def mutate(self, operation: str, mutation: Mutation, wait: float) -> ChangeReply:
-        """Appends a change and waits until it is in force everywhere.
+        """Appends a change and waits until every instance that may serve has applied it.
 
         Args:
-            operation: The operator's id of the change; repeating it never makes it twice.
+            operation: The operator's id of the change; a repeated id never makes a second change.
             mutation: What to change.
-            wait: Seconds to wait before `PENDING` is answered.
+            wait: Seconds to wait for acceptance before replying `PENDING`.
         """
         known = self.catalogue.result_of(operation)
         if known is not None:
@@ -182,10 +189,16 @@
         return await self._await_acceptance(reply, wait) if isinstance(reply, Result) else reply
 
     async def change_status(self, operation: str, number: int, wait: float) -> ChangeReply | None:
-        """Tells where an earlier change stands; None when the log does not hold it."""
+        """Returns the status of an earlier change; None when the log does not contain it.
+
+        Args:
+            operation: The operator's id of the change; empty to look it up by number.
+            number: Its number in the log, used without an operation id.
+            wait: Seconds to wait for acceptance before replying `PENDING`.
+        """
         result = self._known_result(operation, number)
         if result is None:
-            # It may have been made through another instance a moment ago.
+            # The change may have been made through another instance a moment ago.
             if await self._feed.catch_up() is None:
                 return _maybe_written_reply("the log of changes cannot be read now")
             result = self._known_result(operation, number)
@@ -199,10 +212,15 @@
         return self.catalogue.result_at(number) or Result(number, Verdict.APPLIED)
 
     async def _append_change(self, change: Change) -> Result | ChangeReply:
-        """Appends a change to the log, or finds that it must not or need not be."""
+        """Appends a change to the log unless it conflicts, is invalid or is already there.
+
+        Returns:
+            The verdict on the change; a reply when the log is unavailable or the write is in doubt.
+        """
         for _ in range(APPEND_ATTEMPTS):
-            # The end of the log is read first, so that a change which already conflicts is told so
-            # without being written, and an operation made through another instance is found.
+            # The log is read to its end first, so that a change which already conflicts is
+            # rejected without being written, and an operation made through another instance is
+            # found.
             if await self._feed.catch_up() is None:
                 return _unavailable_reply("the log of changes cannot be read now")
             if self.replica.rolled_back:
@@ -211,9 +229,9 @@
             if known is not None:
                 return known
             number = self.catalogue.applied + 1
-            judged = self.catalogue.evaluate(number, change.mutation)
-            if judged.verdict is not Verdict.APPLIED:
-                return msgspec.structs.replace(judged, number=0)
+            expected = self.catalogue.evaluate(number, change.mutation)
+            if expected.verdict is not Verdict.APPLIED:
+                return msgspec.structs.replace(expected, number=0)
             written = await self._create_change(number, change)
             if isinstance(written, Unavailable):
                 return (
@@ -232,59 +250,71 @@
         return _unavailable_reply("too many other changes at the same time")
 
     async def _create_change(self, number: int, change: Change) -> Written | Conflict | Unavailable:
-        """Creates a log element; a lost answer, or a conflict with itself, is read back."""
+        """Writes change `number` to the log.
+
+        After a lost response or a conflict the change is read back: it may have been written by
+        this instance's own earlier attempt.
+        """
         written: Written | Conflict | Unavailable = Unavailable(False, "")
-        # Once one try may have landed, no later refusal can take that back.
-        maybe = False
+        # Once an attempt may have written the change, a later refusal does not undo that.
+        may_have_written = False
         for _ in range(LOST_ANSWER_ATTEMPTS):
             written = await self._platform.create(CHANGES, change_name(number), change)
             if isinstance(written, Written):
                 return written
-            maybe = maybe or (isinstance(written, Unavailable) and written.may_have_written)
-            if isinstance(written, Unavailable) and not maybe:
+            may_have_written = may_have_written or (
+                isinstance(written, Unavailable) and written.may_have_written
+            )
+            if isinstance(written, Unavailable) and not may_have_written:
                 return written
             found = await self._platform.get(CHANGES, change_name(number))
             if isinstance(found, Found):
-                mine = msgspec.convert(found.value, Change).operation == change.operation
-                return Written(found.version) if mine else Conflict(found.version)
-        return Unavailable(True, MAYBE_WRITTEN) if maybe else written
+                is_own = msgspec.convert(found.value, Change).operation == change.operation
+                return Written(found.version) if is_own else Conflict(found.version)
+        return Unavailable(True, MAYBE_WRITTEN) if may_have_written else written
 
     async def _await_acceptance(self, result: Result, wait: float) -> ChangeReply:
+        """Waits up to `wait` seconds for the acceptance of a change that was not rejected."""
         rejected = _REJECTIONS.get(result.verdict)
         if rejected is not None:
             return ChangeReply(rejected, result, (), result.message)
         until = monotonic() + wait
         while True:
-            missing = await self._find_lagging(result.number)
-            if missing is not None and not missing:
+            lagging = await self._find_lagging(result.number)
+            if lagging is not None and not lagging:
                 return ChangeReply(ChangeStatus.ACCEPTED, result)
             if monotonic() >= until:
-                message = UNCONFIRMED if missing is None else ""
+                message = UNCONFIRMED if lagging is None else ""
                 return ChangeReply(
-                    ChangeStatus.PENDING, result, missing or (), message, RETRY_AFTER
+                    ChangeStatus.PENDING, result, lagging or (), message, RETRY_AFTER
                 )
             await asyncio.sleep(POLL_INTERVAL)
 
     async def _find_lagging(self, number: int) -> tuple[LaggingInstance, ...] | None:
-        """Returns who keeps a change from being accepted; None when the platform cannot be asked.
+        """Returns the instances that keep a change from being accepted.
+
+        The leases known here may be out of date: an instance may have got or renewed its lease
+        without this instance having learned of it. So the leases are read from the platform after
+        the change was written.
 
-        What is known here may be old: an instance may have got its lease, or renewed it, without
-        this one having heard. So the leases are read after the change was written.
+        Returns:
+            The lagging instances; None when the leases could not be read.
         """
         if number <= self._highest_accepted:
             return ()
-        missing = acceptance.find_lagging(number, self._members(number, monotonic()))
-        if missing:
-            return missing
+        lagging = acceptance.find_lagging(number, self._members(number, monotonic()))
+        if lagging:
+            return lagging
         asked_at = monotonic()
         if not await self._read_leases():
             return None
-        missing = acceptance.find_lagging(number, self._members(number, asked_at))
-        if not missing:
+        lagging = acceptance.find_lagging(number, self._members(number, asked_at))
+        if not lagging:
             self._highest_accepted = max(self._highest_accepted, number)
-        return missing
+        return lagging
 
     async def _read_leases(self) -> bool:
+        """Updates the known leases from the platform; returns whether all could be read."""
         after, more = "", True
         while more:
             page = await self._platform.list(LEASES, after)
@@ -301,7 +331,7 @@
         fleet = self._fleet
         peers = [self._member(name, peer, number, now) for name, peer in fleet.peers.items()]
         membership = self._membership
-        me = Member(
+        own = Member(
             name=fleet.own_name,
             zone=fleet.zone,
             applied=self.catalogue.applied,
@@ -309,7 +339,7 @@
             listed=True,
             settled=membership.reachability.is_settled(now),
         )
-        return [me, *peers]
+        return [own, *peers]
 
     def _member(self, name: str, peer: Peer, number: int, now: float) -> Member:
         leased = not peer.lease.has_lapsed(now)
@@ -340,34 +370,35 @@
         self._newest_known = max(self._newest_known, number)
 
     def _log_serving_state(self) -> Reason | None:
-        """Returns why nothing may be served now, and logs when that or the lease changes."""
-        refused = self.refusal_reason()
-        right = (refused, self._membership.lease_period.is_valid(monotonic()))
-        if right != self._logged_state:
-            self._logged_state = right
-            reason = "" if refused is None else refused.value
-            log("may_not_serve" if reason else "may_serve", reason=reason, leased=right[1])
-        return refused
+        """Returns the refusal reason, and logs when it or the validity of the lease changes."""
+        refusal = self.refusal_reason()
+        state = (refusal, self._membership.lease_period.is_valid(monotonic()))
+        if state != self._logged_state:
+            self._logged_state = state
+            reason = "" if refusal is None else refusal.value
+            log("may_not_serve" if reason else "may_serve", reason=reason, leased=state[1])
+        return refusal
 
     def _is_read_due(self) -> bool:
-        """Tells whether the log is to be read again."""
-        refused = self._log_serving_state()
+        """Tells whether the log must be read again, for `ChangeFeed`."""
+        refusal = self._log_serving_state()
         now = monotonic()
         is_behind = self._newest_known > self.catalogue.applied or self.replica.has_gap
         if not is_behind:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = now
-        patient = self._behind_since is None or now < self._behind_since + BEHIND_GRACE
-        return not patient or refused is Reason.NOT_CAUGHT_UP
+        in_grace = self._behind_since is None or now < self._behind_since + BEHIND_GRACE
+        return not in_grace or refusal is Reason.NOT_CAUGHT_UP
 
 
 def _maybe_written_reply(message: str = MAYBE_WRITTEN) -> ChangeReply:
-    """Returns the reply about a change of which nobody can say now whether it is in the log."""
+    """Returns the reply for a change that may or may not be in the log."""
     log("change_unsettled", "WARNING", detail=message)
     return ChangeReply(ChangeStatus.PENDING, None, (), message, RETRY_AFTER)
 
 
 def _unavailable_reply(message: str) -> ChangeReply:
+    """Returns the reply for a change that was not written to the log."""
     log("change_not_taken", "WARNING", detail=message)
     return ChangeReply(ChangeStatus.UNAVAILABLE, None, (), message, RETRY_AFTER)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/dispatch.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/dispatch.py
@@ -1,7 +1,7 @@
 """Runs requests: admission, idempotency, the choice of an endpoint, retries and the outcome.
 
-Whether something may be retried, and what a caller is told, is decided by the state table in
-`wigeonarch_core.lifecycle` alone; this module finds out what happened and carries the ruling out.
+Whether a request may be retried, and which outcome its caller gets, is decided only by the state
+table in `wigeonarch_core.lifecycle`; this module looks up each event in it and acts on the result.
 """
 
 from __future__ import annotations
@@ -80,35 +80,37 @@
 
     @property
     def in_progress(self) -> int:
-        """Number of requests in progress."""
+        """Number of admitted requests that have not ended."""
         return self._admission.in_progress
 
     async def wait_idle(self) -> None:
         """Waits until no request is in progress."""
         await self._idle.wait()
 
-    async def run(self, req: Request, show: SendText | None = None) -> Outcome:
-        """Runs a request to its one outcome, as `_counted` does.
+    async def run(self, req: Request, send_text: SendText | None = None) -> Outcome:
+        """Runs a request to its one outcome; see `_run_recorded` for the arguments.
 
-        A non-idempotent request goes on when its caller is cut off, so that its key's record gets
-        the answer and a repetition is told it.
+        A non-idempotent request continues when its caller disconnects, so that its answer is stored
+        under its idempotency key and a repetition of the request receives it.
         """
         if req.idempotent:
-            return await self._run_recorded(req, show)
-        task = asyncio.create_task(self._run_recorded(req, show and _until_disconnected(show)))
+            return await self._run_recorded(req, send_text)
+        task = asyncio.create_task(
+            self._run_recorded(req, send_text and _until_disconnected(send_text))
+        )
         self._detached.add(task)
         task.add_done_callback(self._detached.discard)
         return await asyncio.shield(task)
 
-    async def _run_recorded(self, req: Request, show: SendText | None) -> Outcome:
-        """Runs a request to its one outcome.
+    async def _run_recorded(self, req: Request, send_text: SendText | None) -> Outcome:
+        """Admits and runs a request to its one outcome.
 
         Args:
             req: The request.
-            show: Called with each piece of text as it comes, if the caller wants a stream.
+            send_text: Called with each piece of text as it arrives, if the caller wants a stream.
 
         Returns:
-            The outcome; it is also counted, logged and remembered.
+            The outcome, which is also counted, logged and added to the journal.
         """
         refused = self._admission.try_admit(req.caller)
         if refused is not None:
@@ -121,7 +123,7 @@
         self._journal.open(req.id, req.received)
         outcome = Unknown(Reason.CANCELLED)
         try:
-            outcome = await self._run_admitted(req, show)
+            outcome = await self._run_admitted(req, send_text)
             return outcome
         finally:
             self._admission.release(req.caller)
@@ -130,41 +132,41 @@
                 self._idle.set()
             self._record_outcome(req, outcome)
 
-    async def _run_admitted(self, req: Request, show: SendText | None) -> Outcome:
+    async def _run_admitted(self, req: Request, send_text: SendText | None) -> Outcome:
         self._retry_budget.record_request(req.service)
         if req.idempotent:
-            return await self._run_attempts(req, show)
-        hold = await self._keys.acquire(req)
-        if not isinstance(hold, KeyHold):
+            return await self._run_attempts(req, send_text)
+        held_key = await self._keys.acquire(req)
+        if not isinstance(held_key, KeyHold):
             self._journal.note(req.id, "idempotency", detail="answered from the key's record")
-            return hold
+            return held_key
         self._journal.note(req.id, "idempotency", detail="key recorded")
-        if self._keys.may_dispatch(hold, req):
-            outcome = await self._run_attempts(req, show)
+        if self._keys.may_dispatch(held_key, req):
+            outcome = await self._run_attempts(req, send_text)
         else:
-            # Paused for long between the record and here.
+            # The process was paused for too long after it had taken the key.
             outcome = NotRun(Reason.DEADLINE)
-        await self._keys.complete(hold, req, outcome)
+        await self._keys.complete(held_key, req, outcome)
         return outcome
 
-    async def _run_attempts(self, req: Request, show: SendText | None) -> Outcome:
+    async def _run_attempts(self, req: Request, send_text: SendText | None) -> Outcome:
         progress = Progress()
         while True:
             if isinstance(req.work, Generate):
-                ended = await self._generations.run(req, req.work, progress, show)
+                result = await self._generations.run(req, req.work, progress, send_text)
             else:
-                ended = await self._service_calls.run(req, req.work, progress)
-            if not isinstance(ended, FailedAttempt):
-                return ended
-            rule = disposition_of(ended.phase, ended.event)
-            told = outcome_of(rule, ended.reason, ended.retry_after)
-            progress.outcome = combine_outcomes(progress.outcome, told)
-            again = may_retry(rule, ended.reason, req.idempotent, progress.streamed)
-            if not again or not self._spend_retry(req, progress):
+                result = await self._service_calls.run(req, req.work, progress)
+            if not isinstance(result, FailedAttempt):
+                return result
+            disposition = disposition_of(result.phase, result.event)
+            outcome = outcome_of(disposition, result.reason, result.retry_after)
+            progress.outcome = combine_outcomes(progress.outcome, outcome)
+            retry = may_retry(disposition, result.reason, req.idempotent, progress.streamed)
+            if not retry or not self._spend_retry(req, progress):
                 return progress.outcome
             progress.retries += 1
-            self._metrics.retries.labels(ended.reason).inc()
-            self._journal.note(req.id, "retry", ended.reason, f"after {ended.event.value}")
+            self._metrics.retries.labels(result.reason).inc()
+            self._journal.note(req.id, "retry", result.reason, f"after {result.event.value}")
             await asyncio.sleep(self._retry_pause(req, progress))
 
     def _spend_retry(self, req: Request, progress: Progress) -> bool:
@@ -177,37 +179,46 @@
         return False
 
     def _retry_pause(self, req: Request, progress: Progress) -> float:
-        """Returns the seconds to wait before a retry; the first one goes elsewhere at once."""
+        """Returns the seconds to wait before a retry; the first retry is sent without a wait."""
         if progress.retries == 1:
             return 0.0
         pause = full_jitter(progress.retries - 2, MIN_PAUSE, MAX_PAUSE, self._rng)
         return min(pause, max(0.0, req.deadline - monotonic()))
 
-    # Ends -----------------------------------------------------------------------------------
+    # Outcomes -------------------------------------------------------------------------------
 
     def _record_outcome(self, req: Request, outcome: Outcome) -> None:
-        kind = type(outcome).__name__.lower()
+        outcome_kind = type(outcome).__name__.lower()
         reason = "" if isinstance(outcome, Answered) else outcome.reason
-        self._metrics.requests.labels(kind).inc()
+        self._metrics.requests.labels(outcome_kind).inc()
         if isinstance(outcome, NotRun):
             self._metrics.refusals.labels(outcome.reason).inc()
         self._journal.set_outcome(req.id, outcome)
-        self._journal.note(req.id, "outcome", reason, kind)
-        spent_ms = (monotonic() - req.received) * MS_PER_SECOND
-        log("request_ended", request=req.id, outcome=kind, reason=reason or "-", ms=spent_ms)
+        self._journal.note(req.id, "outcome", reason, outcome_kind)
+        duration_ms = (monotonic() - req.received) * MS_PER_SECOND
+        log(
+            "request_ended",
+            request=req.id,
+            outcome=outcome_kind,
+            reason=reason or "-",
+            ms=duration_ms,
+        )
+
 
+def _until_disconnected(send_text: SendText) -> SendText:
+    """Wraps `send_text` so that it does nothing once the caller has disconnected.
 
-def _until_disconnected(show: SendText) -> SendText:
-    """Returns `show` for a request that goes on when its caller no longer takes the answer."""
-    broken = False
+    For a request that continues without its caller.
+    """
+    disconnected = False
 
-    async def guarded(text: str) -> None:
-        nonlocal broken
-        if broken:
+    async def send_if_connected(text: str) -> None:
+        nonlocal disconnected
+        if disconnected:
             return
         try:
-            await show(text)
+            await send_text(text)
         except ConnectionError:
-            broken = True
+            disconnected = True
 
-    return guarded
+    return send_if_connected
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/engines.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/engines.py
@@ -1,11 +1,12 @@
 """Client of model engines; the only module that knows their protocol.
 
-A generation is read as a series of tagged results: chunks in order without gaps, then one ending.
-Whatever comes for another dispatch or twice never reaches the caller of this module.
+A generation is read as a stream of chunks in order of their sequence numbers, without gaps, that
+ends with the final chunk or a `StreamBroken`. Duplicates and other dispatches' chunks are dropped.
 
-Only reports, which are read all the time and may be lost, use pooled connections. A pooled one may
-have gone silent without either end knowing, and the client library sends a GET or DELETE again by
-itself when one drops; so generations, their resumes and orders each open a new connection.
+Only reports, which are read all the time and may be lost, use pooled connections. A pooled
+connection may have gone silent without either end noticing, and the HTTP library by itself repeats
+a GET or DELETE whose pooled connection drops. So each generation, resume, cancellation and order
+opens a new connection.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 _OK: Final = 200
 _MAX_LINE_BYTES: Final = 1 << 20
 
-# What an engine answers before it runs anything; all of them promise that it did not run.
+# Reasons with which an engine declines a request; each guarantees that nothing of it ran.
 DECLINE_REASONS: Final = {
     "leaving": Reason.ENDPOINT_LEAVING,
     "overloaded": Reason.ENDPOINT_OVERLOADED,
@@ -38,7 +39,18 @@
 
 
 class Chunk(msgspec.Struct):
-    """One line of a generation's stream."""
+    """One line of a generation's stream.
+
+    Attributes:
+        dispatch: Id of the dispatch that the chunk belongs to.
+        seq: Sequence number of the chunk, from 0.
+        text: The text that it adds.
+        tokens: Number of tokens in that text.
+        adapter: Adapter that generated it.
+        version: Version of that adapter.
+        final: Whether it is the last chunk.
+        finish: Why the generation finished; set in the last chunk.
+    """
 
     dispatch: str
     seq: int
@@ -52,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Generation:
-    """What an engine is to generate.
+    """A generation to run on an engine.
 
     Attributes:
         dispatch: Id of this dispatch.
         target: Adapter version to use.
         prompt: The prompt.
-        max_tokens: Most tokens to generate.
-        priority: Greater goes first.
+        max_tokens: Largest number of tokens to generate.
+        priority: Requests with a greater value go first.
         remaining: Seconds until the hard deadline.
     """
 
@@ -76,8 +88,8 @@
     """The stream ended without its final chunk.
 
     Attributes:
-        event: What happened, for the state table of requests.
-        reason: Why.
+        event: What happened, as an event of the state table in `wigeonarch_core.lifecycle`.
+        reason: Why it happened.
         sent: Whether the engine may have received the request.
     """
 
@@ -88,7 +100,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderResult:
-    """How an order to an engine ended; `reason` is the engine's word when it is not done."""
+    """Result of an order to an engine.
+
+    Attributes:
+        done: Whether the engine carried the order out.
+        reason: If not, the reason that the engine gave, or the class name of the exception.
+    """
 
     done: bool
     reason: str = ""
@@ -101,12 +118,17 @@
 
 
 class EngineClient:
-    """Calls to model engines."""
+    """HTTP client for all model engines."""
 
     __slots__ = ("_connect_timeout", "_pooled", "_unpooled")
 
     def __init__(self, connect_timeout: float, source: str = "") -> None:
-        """Makes the client; `source` is the IP that connections come from, if it matters."""
+        """Makes the client.
+
+        Args:
+            connect_timeout: Longest time to open a connection, in seconds.
+            source: Local IP address of the connections; empty to let the system choose.
+        """
         self._connect_timeout = connect_timeout
         local = (source, 0) if source else None
         self._pooled = aiohttp.ClientSession(
@@ -126,18 +148,19 @@
         self,
         address: str,
         gen: Generation,
-        first: float,
-        silence: float,
-        usable: Callable[[], bool] = lambda: True,
+        first_timeout: float,
+        next_timeout: float,
+        may_send: Callable[[], bool] = lambda: True,
     ) -> AsyncIterator[Chunk | StreamBroken]:
         """Starts a generation and yields its chunks from sequence number 0.
 
         Args:
             address: `IP:PORT` of the engine.
             gen: What to generate.
-            first: Longest wait for the first chunk, in seconds.
-            silence: Longest wait for a further one, in seconds.
-            usable: Asked last before the request is sent; if it does not hold, nothing is sent.
+            first_timeout: Longest wait for the first chunk, in seconds.
+            next_timeout: Longest wait for each further chunk, in seconds.
+            may_send: Called as the last step before the request is sent; if it returns False,
+                nothing is sent.
         """
         doc = {
             "dispatch": gen.dispatch,
@@ -149,17 +172,17 @@
             "deadline_ms": max(1, int(gen.remaining * 1000)),
         }
         url = f"http://{address}/v1/generate"
-        return self._read("POST", url, doc, gen, 0, (first, silence), usable)
+        return self._read("POST", url, doc, gen, 0, (first_timeout, next_timeout), may_send)
 
     def resume(
-        self, address: str, gen: Generation, seq: int, silence: float
+        self, address: str, gen: Generation, seq: int, next_timeout: float
     ) -> AsyncIterator[Chunk | StreamBroken]:
-        """Reads a running or finished generation from sequence number `seq` on."""
+        """Reads a running or finished generation again, from sequence number `seq`."""
         url = f"http://{address}/v1/generate/{gen.dispatch}?from={seq}"
-        return self._read("GET", url, None, gen, seq, (silence, silence))
+        return self._read("GET", url, None, gen, seq, (next_timeout, next_timeout))
 
     async def cancel(self, address: str, dispatch: str) -> bool:
-        """Cancels a generation; False when the engine could not be told."""
+        """Cancels a generation; returns whether the engine has confirmed it."""
         url = f"http://{address}/v1/generate/{dispatch}"
         timeout = aiohttp.ClientTimeout(total=self._connect_timeout * 2)
         try:
@@ -169,20 +192,20 @@
             return False
 
     async def load(
-        self, address: str, fence: int, target: AdapterVersion, bound: float
+        self, address: str, fence: int, target: AdapterVersion, time_limit: float
     ) -> OrderResult:
-        """Orders an engine to load an adapter version; returns once it is loaded or has failed."""
-        return await self._send_order(address, "load", fence, target, bound)
+        """Orders an engine to load an adapter version; returns once the load has ended."""
+        return await self._send_order(address, "load", fence, target, time_limit)
 
     async def evict(
-        self, address: str, fence: int, target: AdapterVersion, bound: float
+        self, address: str, fence: int, target: AdapterVersion, time_limit: float
     ) -> OrderResult:
         """Orders an engine to evict an adapter version."""
-        return await self._send_order(address, "evict", fence, target, bound)
+        return await self._send_order(address, "evict", fence, target, time_limit)
 
-    async def report(self, address: str, bound: float) -> EngineReport | None:
-        """Reads an engine's report; None when it cannot be had."""
-        timeout = aiohttp.ClientTimeout(total=bound)
+    async def report(self, address: str, time_limit: float) -> EngineReport | None:
+        """Reads an engine's report; returns None if that fails."""
+        timeout = aiohttp.ClientTimeout(total=time_limit)
         try:
             async with self._pooled.get(f"http://{address}/v1/report", timeout=timeout) as resp:
                 if resp.status != _OK:
@@ -192,10 +215,10 @@
             return None
 
     async def _send_order(
-        self, address: str, order: str, fence: int, target: AdapterVersion, bound: float
+        self, address: str, order: str, fence: int, target: AdapterVersion, time_limit: float
     ) -> OrderResult:
         doc = {"fence": fence, "adapter": target.adapter, "version": target.version}
-        timeout = aiohttp.ClientTimeout(total=bound, connect=self._connect_timeout)
+        timeout = aiohttp.ClientTimeout(total=time_limit, connect=self._connect_timeout)
         url = f"http://{address}/v1/adapters/{order}"
         try:
             async with self._unpooled.post(url, json=doc, timeout=timeout) as resp:
@@ -212,23 +235,23 @@
         doc: dict[str, Any] | None,
         gen: Generation,
         seq: int,
-        waits: tuple[float, float],
-        usable: Callable[[], bool] = lambda: True,
+        timeouts: tuple[float, float],
+        may_send: Callable[[], bool] = lambda: True,
     ) -> AsyncIterator[Chunk | StreamBroken]:
-        first, silence = waits
+        first_timeout, next_timeout = timeouts
         timeout = aiohttp.ClientTimeout(total=None, connect=self._connect_timeout)
         sent = False
         try:
             request = self._unpooled.request(method, url, json=doc, timeout=timeout)
-            with send_only_if(usable):
-                async with asyncio.timeout(first):
+            with send_only_if(may_send):
+                async with asyncio.timeout(first_timeout):
                     resp = await request
             sent = True
             async with resp:
                 if resp.status != _OK:
                     yield _decline(_error_reason(await resp.read()))
                     return
-                async for item in _chunks(resp, gen, seq, (first, silence)):
+                async for item in _chunks(resp, gen, seq, (first_timeout, next_timeout)):
                     yield item
         except (aiohttp.ClientConnectorError, NoLongerUsableError):
             yield _CONNECT_FAILED
@@ -241,15 +264,15 @@
 
 
 async def _chunks(
-    resp: aiohttp.ClientResponse, gen: Generation, seq: int, waits: tuple[float, float]
+    resp: aiohttp.ClientResponse, gen: Generation, seq: int, timeouts: tuple[float, float]
 ) -> AsyncIterator[Chunk | StreamBroken]:
-    """Yields the chunks of one response in order from `seq` on, up to the final one."""
-    wait, silence = waits
+    """Yields the chunks of one response in order from `seq`, up to the final one."""
+    timeout, next_timeout = timeouts
     lines = StreamLines(resp.content)
-    order: ReorderBuffer[Chunk] = ReorderBuffer(seq)
+    ordered: ReorderBuffer[Chunk] = ReorderBuffer(seq)
     while True:
-        line = await lines.next(wait)
-        wait = silence
+        line = await lines.next(timeout)
+        timeout = next_timeout
         chunk = _parse(line)
         if chunk is None:
             yield _LOST
@@ -259,18 +282,18 @@
         if (chunk.adapter, chunk.version) != (gen.target.adapter, gen.target.version):
             yield _MISMATCH
             return
-        ready = order.add(chunk.seq, chunk)
+        ready = ordered.add(chunk.seq, chunk)
         if ready is None:
             yield _LOST
             return
-        for each in ready:
-            yield each
-            if each.final:
+        for chunk_in_order in ready:
+            yield chunk_in_order
+            if chunk_in_order.final:
                 return
 
 
 def _parse(line: bytes) -> Chunk | None:
-    """Returns the chunk in a line, or None at the end of the stream or for a torn line."""
+    """Returns the chunk in a line; None at the end of the stream or for an incomplete line."""
     if not line.endswith(b"\n"):
         return None
     try:
@@ -279,16 +302,16 @@
         return None
 
 
-def _decline(word: str) -> StreamBroken:
-    reason = DECLINE_REASONS.get(word)
+def _decline(engine_reason: str) -> StreamBroken:
+    reason = DECLINE_REASONS.get(engine_reason)
     if reason is None:
         return StreamBroken(Event.ERROR, Reason.ENDPOINT_ERROR, True)
     return StreamBroken(Event.DECLINED, reason, True)
 
 
-def _error_reason(text: bytes) -> str:
+def _error_reason(body: bytes) -> str:
     try:
-        doc = msgspec.json.decode(text, type=dict[str, dict[str, str]])
+        doc = msgspec.json.decode(body, type=dict[str, dict[str, str]])
     except msgspec.DecodeError:
         return ""
     return doc.get("error", {}).get("reason", "")
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/enginestatus.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/enginestatus.py
@@ -1,7 +1,7 @@
-"""The state of the model engines, for operators: what is known here, and each engine's own report.
+"""State of the model engines for operators: this instance's view and each engine's own report.
 
-Engines are asked when an operator asks, not all the time: the heartbeats between instances stay as
-small as placement needs them, and "unreachable" means from this instance, now.
+The reports are read when an operator asks for them and not continuously, so that heartbeats carry
+only what placement needs. "unreachable" means unreachable from this instance at this moment.
 """
 
 from __future__ import annotations
@@ -24,30 +24,30 @@
 
 
 async def engine_statuses(
-    fleet: Fleet, engines: EngineClient, bound: float
+    fleet: Fleet, engines: EngineClient, time_limit: float
 ) -> list[pb.EngineStatus]:
     """Returns the state of each model engine, by name.
 
     Args:
-        fleet: What is known of the deployment.
+        fleet: This instance's view of the deployment.
         engines: Client of the engines.
-        bound: Longest wait for one engine's report, in seconds.
+        time_limit: Longest wait for one engine's report, in seconds.
     """
-    places = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
-    known = {
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_REPORTS)
+    endpoints = {
         name: endpoint
         for name, endpoint in sorted(fleet.endpoints.items())
         if endpoint.listed.role is Role.ENGINE
     }
 
-    async def ask(endpoint: Endpoint) -> EngineReport | None:
-        async with places:
-            return await engines.report(endpoint.listed.address, bound)
+    async def read_report(endpoint: Endpoint) -> EngineReport | None:
+        async with semaphore:
+            return await engines.report(endpoint.listed.address, time_limit)
 
-    reports = await asyncio.gather(*map(ask, known.values()))
+    reports = await asyncio.gather(*map(read_report, endpoints.values()))
     return [
         _status(fleet, name, endpoint, report)
-        for (name, endpoint), report in zip(known.items(), reports, strict=True)
+        for (name, endpoint), report in zip(endpoints.items(), reports, strict=True)
     ]
 
 
@@ -89,7 +89,7 @@
 
 
 def _add_summary(status: pb.EngineStatus, summary: EngineSummary) -> None:
-    """Adds what the owner last told, when the engine itself can't be asked from here."""
+    """Adds the owner's last summary, for an engine that can't be reached from this instance."""
     for state, targets in (("loaded", summary.loaded), ("loading", summary.coming)):
         for target in targets:
             status.loaded.add(adapter=target.adapter, version=target.version, state=state)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/following.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/following.py
@@ -1,4 +1,7 @@
-"""Follows all objects of a kind in the platform: list once, then watch, and again after a break."""
+"""Follows all objects of one kind in the platform: lists them, then watches for changes.
+
+When the watch breaks, the objects are listed and watched again.
+"""
 
 from __future__ import annotations
 
@@ -16,10 +19,10 @@
 
 
 class Follower:
-    """One followed kind.
+    """Follows the objects of one kind.
 
     Attributes:
-        listed: Set once all objects have been seen.
+        listed: Set once all objects have been listed.
     """
 
     __slots__ = (
@@ -37,23 +40,24 @@
         platform: PlatformClient,
         kind: str,
         silence: float,
-        put: Callable[[str, int, Any], None],
-        gone: Callable[[str], None],
+        on_put: Callable[[str, int, Any], None],
+        on_deleted: Callable[[str], None],
     ) -> None:
         """Makes a follower.
 
         Args:
             platform: The platform.
             kind: Kind of the objects.
-            silence: Seconds without a line after which a watch is opened anew.
-            put: Called with name, version and value of an object.
-            gone: Called with the name of an object that was deleted.
+            silence: Seconds without a line after which a watch counts as broken.
+            on_put: Called with the name, version and value of an object that is new or may have
+                changed.
+            on_deleted: Called with the name of an object that was deleted.
         """
         self._platform = platform
         self._kind = kind
         self._watch_timeout = silence
-        self._on_put = put
-        self._on_deleted = gone
+        self._on_put = on_put
+        self._on_deleted = on_deleted
         self._names: set[str] = set()
         self.listed = asyncio.Event()
 
@@ -66,19 +70,24 @@
                 pause = MIN_RETRY_PAUSE
                 self.listed.set()
                 await self._watch(revision)
-            # Full jitter keeps many instances from coming back at the same moment.
+            # Full jitter keeps many instances from listing at the same moment.
             await asyncio.sleep(random.uniform(0, pause))
             pause = min(pause * 2, MAX_RETRY_PAUSE)
 
     async def _list(self) -> int | None:
-        """Lists all objects; returns the revision of the first page, which watching starts from."""
+        """Lists all objects.
+
+        Returns:
+            The revision of the first page, from which the watch starts; None if a page could not be
+            read.
+        """
         seen: set[str] = set()
-        after, first = "", None
+        after, first_revision = "", None
         while True:
             page = await self._platform.list(self._kind, after)
             if isinstance(page, Unavailable):
                 return None
-            first = page.revision if first is None else first
+            first_revision = page.revision if first_revision is None else first_revision
             for item in page.items:
                 seen.add(item.name)
                 self._on_put(item.name, item.version, item.value)
@@ -88,7 +97,7 @@
         for name in self._names - seen:
             self._on_deleted(name)
         self._names = seen
-        return first
+        return first_revision
 
     async def _watch(self, revision: int) -> None:
         async for event in self._platform.watch(self._kind, revision, self._watch_timeout):
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/generating.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/generating.py
@@ -1,4 +1,7 @@
-"""One attempt at a model request: choose an engine, get a grant from its owner, read the answer."""
+"""Attempts to run a model request.
+
+Each attempt chooses an engine, requests a grant from its owner, and reads the engine's answer.
+"""
 
 from __future__ import annotations
 
@@ -23,12 +26,12 @@
 from wigeonarch_entry.reading import AnswerReader
 from wigeonarch_entry.requests import Generate, Request, SendText
 
-# After these the engine certainly does not run the dispatch.
+# Events after which the engine certainly does not run the dispatch.
 _NOT_RUNNING: Final = frozenset({Event.DECLINED, Event.CONNECT_FAILED, Event.ERROR})
 
 
 class GenerationAttempts:
-    """Attempts at model requests."""
+    """Makes single attempts to run model requests."""
 
     __slots__ = (
         "_endpoints",
@@ -62,14 +65,14 @@
         self._rng = rng
 
     async def run(
-        self, req: Request, work: Generate, progress: Progress, show: SendText | None
+        self, req: Request, work: Generate, progress: Progress, send_text: SendText | None
     ) -> Outcome | FailedAttempt:
-        """Makes one attempt: asks the owner of an engine for a grant and uses it."""
+        """Makes one attempt; returns the outcome, or the failure that ended the attempt."""
         endpoint = self._choose(req, work, progress)
         if endpoint is None:
             return self._endpoints.no_endpoint(req.service)
         name = endpoint.listed.name
-        ask = GrantRequest(
+        grant_request = GrantRequest(
             dispatch_id=f"{req.id}.{progress.retries}",
             requester=self._opts.instance,
             engine=name,
@@ -79,53 +82,58 @@
             remaining=req.deadline - monotonic(),
             tokens=work.max_tokens,
         )
-        answer = await self._grants.request(ask, req.deadline)
-        if not isinstance(answer, Granted):
+        reply = await self._grants.request(grant_request, req.deadline)
+        if not isinstance(reply, Granted):
             detail = f"owner of {name} refused"
-            self._journal.note(req.id, "grant", answer.reason, detail)
-            mishap = FailedAttempt(Phase.QUEUED, Event.REFUSED, answer.reason, answer.retry_after)
-            self._endpoints.work_refused(endpoint, answer.reason)
-            progress.record_failure(name, mishap)
-            return mishap
-        self._metrics.load_stall.observe(answer.stalled)
-        detail = f"engine {name}, waited {answer.waited:.3f} s, stalled {answer.stalled:.3f} s"
+            self._journal.note(req.id, "grant", reply.reason, detail)
+            failure = FailedAttempt(Phase.QUEUED, Event.REFUSED, reply.reason, reply.retry_after)
+            self._endpoints.work_refused(endpoint, reply.reason)
+            progress.record_failure(name, failure)
+            return failure
+        self._metrics.load_stall.observe(reply.stalled)
+        detail = f"engine {name}, waited {reply.waited:.3f} s, stalled {reply.stalled:.3f} s"
         self._journal.note(req.id, "grant", detail=detail)
-        return await self._use_grant(req, work, progress, ask, endpoint, show)
+        return await self._use_grant(req, work, progress, grant_request, endpoint, send_text)
 
     def _choose(self, req: Request, work: Generate, progress: Progress) -> Endpoint | None:
-        serving = {
-            e.listed.name: e for e in self._endpoints.candidates(work.target.service, progress)
+        candidates = {
+            endpoint.listed.name: endpoint
+            for endpoint in self._endpoints.candidates(work.target.service, progress)
         }
         now = monotonic()
         views = [
             EngineView(
                 name,
-                e.listed.zone,
-                e.leaving,
+                endpoint.listed.zone,
+                endpoint.leaving,
                 self._fleet.summaries.get(name),
                 self._grants.is_owner_reachable(name, now),
             )
-            for name, e in serving.items()
+            for name, endpoint in candidates.items()
         ]
         choices = choose_engines(work.target, self._opts.zone, views, self._opts.policy)
         if not choices:
             return None
         detail = ", ".join(f"{choice.engine} ({choice.why})" for choice in choices[:4])
         self._journal.note(req.id, "route", detail=f"{work.target} to {detail}")
-        return serving[choices[0].engine]
+        return candidates[choices[0].engine]
 
     async def _use_grant(
         self,
         req: Request,
         work: Generate,
         progress: Progress,
-        ask: GrantRequest,
+        grant_request: GrantRequest,
         endpoint: Endpoint,
-        show: SendText | None,
+        send_text: SendText | None,
     ) -> Outcome | FailedAttempt:
-        """Runs a granted request; the pin is released once the engine certainly runs it no more."""
+        """Runs a granted request.
+
+        The grant is released once the engine certainly no longer runs the request. If that is not
+        known, the grant is abandoned, and the engine's owner keeps the pin.
+        """
         gen = Generation(
-            dispatch=ask.dispatch_id,
+            dispatch=grant_request.dispatch_id,
             target=work.target,
             prompt=work.prompt,
             max_tokens=work.max_tokens,
@@ -134,24 +142,29 @@
         )
         address = endpoint.listed.address
         self._endpoints.call_started(endpoint)
-        reading = AnswerReader(
-            self._engines, self._journal, self._metrics, req, progress, show, self._rng
+        reader = AnswerReader(
+            self._engines, self._journal, self._metrics, req, progress, send_text, self._rng
         )
-        finished = False
-        answer = reading.run(
-            address, gen, self._opts.timing, lambda: self._grants.is_usable(ask.dispatch_id)
+        not_running = False
+        read_answer = reader.run(
+            address,
+            gen,
+            self._opts.timing,
+            lambda: self._grants.is_usable(grant_request.dispatch_id),
         )
         try:
             async with asyncio.timeout(max(0.0, gen.remaining)):
-                ended = await answer
-            finished = not isinstance(ended, FailedAttempt) or ended.event in _NOT_RUNNING
+                result = await read_answer
+            not_running = not isinstance(result, FailedAttempt) or result.event in _NOT_RUNNING
         except TimeoutError:
-            ended = FailedAttempt(Phase.SENT, Event.DEADLINE, Reason.DEADLINE)
+            result = FailedAttempt(Phase.SENT, Event.DEADLINE, Reason.DEADLINE)
         finally:
-            if not finished:
-                finished = await asyncio.shield(self._engines.cancel(address, gen.dispatch))
-            (self._grants.release if finished else self._grants.abandon)(ask.dispatch_id)
-        self._endpoints.call_ended(endpoint, ended)
-        if isinstance(ended, FailedAttempt):
-            progress.record_failure(endpoint.listed.name, ended)
-        return ended
+            if not not_running:
+                not_running = await asyncio.shield(self._engines.cancel(address, gen.dispatch))
+            (self._grants.release if not_running else self._grants.abandon)(
+                grant_request.dispatch_id
+            )
+        self._endpoints.call_ended(endpoint, result)
+        if isinstance(result, FailedAttempt):
+            progress.record_failure(endpoint.listed.name, result)
+        return result
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/httperrors.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/httperrors.py
@@ -1,4 +1,4 @@
-"""Answers of the HTTP door that are not an answer to the request: refusals, failures, unknowns."""
+"""Error responses of the HTTP server: requests refused, failed, or with an unknown outcome."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 OUTCOME_HEADER: Final = "X-Outcome"
 RETRY_AFTER_HEADER: Final = "Retry-After"
-MIN_RETRY_AFTER: Final = 1
-STREAM_STARTED: Final = web.RequestKey("begun", bool)  # Set once a streamed answer has begun.
+MIN_RETRY_AFTER: Final = 1  # Seconds.
+STREAM_STARTED: Final = web.RequestKey("begun", bool)  # Set once a streamed response has started.
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def error_doc(outcome: Outcome) -> dict[str, Any]:
-    """Returns the document that tells why there is no answer.
+    """Returns the JSON document that says why a request has no answer.
 
-    `message`, `type`, `param` and `code` are what OpenAI's clients read; `reason` and `outcome` are
-    the published ones.
+    `message`, `type`, `param` and `code` are the fields that OpenAI's clients read; `reason` and
+    `outcome` are those of the published schema.
     """
-    assert not isinstance(outcome, Answered), "an answer is no error"
+    assert not isinstance(outcome, Answered), "an answered request has no error document"
     return _make_doc(OUTCOME_NAMES[type(outcome)], outcome.reason, describe(outcome))
 
 
 def error_response(outcome: Outcome, headers: dict[str, str]) -> web.Response:
-    """Returns the response that tells why there is no answer."""
+    """Returns the HTTP response that says why a request has no answer."""
     status = status_of(outcome)
     headers = headers | {OUTCOME_HEADER: OUTCOME_NAMES[type(outcome)]}
     if isinstance(outcome, Failed) and outcome.body:
@@ -46,7 +46,7 @@
 
 @web.middleware
 async def error_middleware(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Gives the errors of the HTTP library, and broken invariants, the form of all others."""
+    """Turns errors of the HTTP library and unexpected exceptions into error documents."""
     try:
         return await handler(request)
     except web.HTTPNotFound:
@@ -55,12 +55,12 @@
         allowed = ", ".join(sorted(exc.allowed_methods))
         return _library_error(405, UNKNOWN_METHOD, {"Allow": allowed})
     except ConnectionError:
-        # The caller has gone; nobody reads what is returned.
+        # The caller has disconnected, so nobody reads this response.
         return web.Response(status=500)
     except Exception as exc:
         log("door_failed", level="ERROR", path=request.path, error=repr(exc))
         if request.get(STREAM_STARTED) and request.transport is not None:
-            # A second answer within the stream would be read as a part of the first.
+            # A second response on the connection would be read as part of the streamed one.
             request.transport.abort()
         doc = _make_doc("unknown", Reason.ENDPOINT_ERROR, INTERNAL_ERROR)
         return web.json_response(doc, status=500, headers={OUTCOME_HEADER: "unknown"})
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/httpserver.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/httpserver.py
@@ -1,8 +1,8 @@
-"""The callers' HTTP door: completions in the OpenAI form, plain calls, models, metrics, probes.
+"""HTTP server for callers: OpenAI-compatible completions, service calls, models, metrics, probes.
 
-Every handler first takes a place, so that bodies still on their way count as work too; a caller
-that vanishes, or reads nothing for `timing.write_timeout`, ends its request, and so its use of an
-engine.
+Every handler of requests takes a request slot before it reads the body, so that bodies still being
+received count towards the limit too. When a caller disconnects, or reads nothing for
+`timing.write_timeout`, its request is cancelled, which also frees the engine it was using.
 """
 
 from __future__ import annotations
@@ -53,11 +53,10 @@
 
 REQUEST_HEADER: Final = "X-Request-Id"
 MAX_LISTED_MODELS: Final = 100_000
-REFUSAL_RETRY_AFTER: Final = 1.0
-KEEP_ALIVE_TIMEOUT: Final = 75.0
-LINGER_TIMEOUT: Final = (
-    3.0  # For a refused body that still comes, so that its caller reads the refusal.
-)
+REFUSAL_RETRY_AFTER: Final = 1.0  # Seconds.
+KEEP_ALIVE_TIMEOUT: Final = 75.0  # Seconds.
+# Seconds for which the rest of a refused body is still read, so that its caller reads the refusal.
+LINGER_TIMEOUT: Final = 3.0
 LISTEN_BACKLOG: Final = 1024
 SEND_BUFFER_BYTES: Final = 64 * 1024
 
@@ -67,7 +66,7 @@
 
 
 class HttpServer:
-    """Handlers of the HTTP door."""
+    """The HTTP server of an instance, with its handlers."""
 
     __slots__ = (
         "_catalogue",
@@ -88,21 +87,21 @@
         dispatcher: Dispatcher,
         metrics: Metrics,
         refusals: Refusals,
-        refusal: Callable[[], Reason | None],
+        refusal_reason: Callable[[], Reason | None],
     ) -> None:
-        """Makes the door; `refusal` says why no request may be taken now, if so."""
+        """Makes the server; `refusal_reason` returns why no request may be accepted now, if so."""
         self._opts = opts
         self._catalogue = catalogue
         self._dispatcher = dispatcher
         self._metrics = metrics
         self._refusals = refusals
-        self._refusal_reason = refusal
+        self._refusal_reason = refusal_reason
         self._free_request_slots = opts.limits.requests
         self._free_stream_slots = opts.limits.event_streams
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Starts listening."""
         limits = self._opts.limits
         app = web.Application(client_max_size=limits.body_bytes, middlewares=[error_middleware])
         app.add_routes(
@@ -124,16 +123,16 @@
             max_field_size=limits.header_bytes,
             keepalive_timeout=KEEP_ALIVE_TIMEOUT,
             lingering_time=LINGER_TIMEOUT,
-            # For answers that are still being sent when the door closes.
+            # For responses that are still being sent when the server stops.
             shutdown_timeout=self._opts.timing.max_deadline,
-            # A caller that vanishes cancels its handler, and so its request.
+            # A caller that disconnects cancels its handler, and so its request.
             handler_cancellation=True,
         )
         await self._runner.setup()
         await web.SockSite(self._runner, _listen(self._opts.http)).start()
 
     async def stop(self) -> None:
-        """Closes the door; requests in progress have ended by then."""
+        """Stops the server; no request is in progress when this is called."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -148,55 +147,61 @@
     async def _handle_generate(
         self, http: web.Request, decode: Callable[[bytes], CompletionRequest | NotRun]
     ) -> web.StreamResponse:
-        async with self._request_slot() as refused:
-            body = refused or await self._read_body(http)
+        """Handles both completion routes, which differ in how the body is decoded."""
+        async with self._request_slot() as refusal:
+            body = refusal or await self._read_body(http)
             if isinstance(body, NotRun):
                 return self._refuse(body)
-            ask = decode(body)
-            if isinstance(ask, NotRun):
-                return self._refuse(ask)
-            req = self._make_request(http, ask)
+            completion = decode(body)
+            if isinstance(completion, NotRun):
+                return self._refuse(completion)
+            req = self._make_request(http, completion)
             if isinstance(req, NotRun):
                 return self._refuse(req)
-            if ask.stream:
-                return await self._respond_streamed(http, req, ask.response_builder)
-            return await self._respond_whole(req, ask.response_builder)
+            if completion.stream:
+                return await self._respond_streamed(http, req, completion.response_builder)
+            return await self._respond_whole(req, completion.response_builder)
 
-    def _make_request(self, http: web.Request, ask: CompletionRequest) -> Request | NotRun:
+    def _make_request(self, http: web.Request, completion: CompletionRequest) -> Request | NotRun:
         terms = read_terms(http)
         if isinstance(terms, NotRun):
             return terms
         return make_generate_request(
-            self._opts, self._catalogue, ask.model, ask.prompt, ask.max_tokens, terms
+            self._opts,
+            self._catalogue,
+            completion.model,
+            completion.prompt,
+            completion.max_tokens,
+            terms,
         )
 
-    async def _respond_whole(self, req: Request, form: ResponseBuilder) -> web.StreamResponse:
+    async def _respond_whole(self, req: Request, builder: ResponseBuilder) -> web.StreamResponse:
         outcome = await self._dispatcher.run(req)
         if not isinstance(outcome, Answered):
             return _outcome_response(req, outcome)
         return web.json_response(
-            answer_doc(req, form, outcome), headers=_headers(req) | ANSWERED_HEADERS
+            answer_doc(req, builder, outcome), headers=_headers(req) | ANSWERED_HEADERS
         )
 
     async def _respond_streamed(
-        self, http: web.Request, req: Request, form: ResponseBuilder
+        self, http: web.Request, req: Request, builder: ResponseBuilder
     ) -> web.StreamResponse:
-        """Answers with server-sent events; the status is sent with the first one."""
+        """Responds with server-sent events; the HTTP status is sent with the first event."""
         if not self._free_stream_slots:
             return self._refuse(NotRun(Reason.CONCURRENCY, REFUSAL_RETRY_AFTER, TOO_MANY_STREAMS))
         self._free_stream_slots -= 1
         events = _EventStream(http, _headers(req), self._opts.timing.write_timeout)
         try:
-            outcome = await self._dispatcher.run(req, _text_sender(events, req, form))
+            outcome = await self._dispatcher.run(req, _text_sender(events, req, builder))
             if not events.started and not isinstance(outcome, Answered):
                 return _outcome_response(req, outcome)
-            return await _end_stream(events, req, form, outcome)
+            return await _end_stream(events, req, builder, outcome)
         finally:
             self._free_stream_slots += 1
 
     async def _handle_service_call(self, http: web.Request) -> web.StreamResponse:
-        async with self._request_slot() as refused:
-            body = refused or await self._read_body(http)
+        async with self._request_slot() as refusal:
+            body = refusal or await self._read_body(http)
             if isinstance(body, NotRun):
                 return self._refuse(body)
             terms = read_terms(http)
@@ -216,12 +221,12 @@
 
     @asynccontextmanager
     async def _request_slot(self) -> AsyncIterator[NotRun | None]:
-        """Holds a place for one request; gives the refusal if it may not be taken now."""
-        blocked = self._refusal_reason() or (
+        """Holds a request slot; yields the refusal if no request may be accepted now."""
+        reason = self._refusal_reason() or (
             None if self._free_request_slots else Reason.CONCURRENCY
         )
-        if blocked is not None:
-            yield NotRun(blocked, REFUSAL_RETRY_AFTER)
+        if reason is not None:
+            yield NotRun(reason, REFUSAL_RETRY_AFTER)
             return
         self._free_request_slots -= 1
         try:
@@ -243,11 +248,11 @@
             return NotRun(Reason.CANCELLED)
 
     def _refuse(self, outcome: NotRun) -> web.Response:
-        """Answers a request that never became one."""
+        """Refuses an HTTP request for which no `Request` was made."""
         request = self._refusals.record("http", outcome)
         return error_response(outcome, {REQUEST_HEADER: request})
 
-    # The rest -------------------------------------------------------------------------------
+    # Models, metrics and probes -------------------------------------------------------------
 
     async def _handle_models(self, _http: web.Request) -> web.Response:
         stored = self._catalogue.list(EntryKind.ADAPTER, "", MAX_LISTED_MODELS)
@@ -269,25 +274,25 @@
         return web.Response(text="ok\n")
 
     async def _handle_readyz(self, _http: web.Request) -> web.Response:
-        blocked = self._refusal_reason()
-        if blocked is None:
+        reason = self._refusal_reason()
+        if reason is None:
             return web.Response(text="ready\n")
-        return web.Response(status=503, text=f"{blocked}: {REASON_TEXTS[blocked]}\n")
+        return web.Response(status=503, text=f"{reason}: {REASON_TEXTS[reason]}\n")
 
 
 class _EventStream:
     """A stream of server-sent events to one caller.
 
     Attributes:
-        begun: Whether the status has been sent.
+        started: Whether the HTTP status has been sent.
     """
 
     __slots__ = ("_http", "_response", "_write_timeout", "started")
 
-    def __init__(self, http: web.Request, headers: dict[str, str], bound: float) -> None:
-        """Makes a stream; a caller that reads nothing for `bound` seconds counts as gone."""
+    def __init__(self, http: web.Request, headers: dict[str, str], write_timeout: float) -> None:
+        """Makes a stream; a caller that reads nothing for `write_timeout` seconds is gone."""
         self._http = http
-        self._write_timeout = bound
+        self._write_timeout = write_timeout
         self._response = web.StreamResponse(headers=SSE_HEADERS | headers)
         self.started = False
 
@@ -295,7 +300,7 @@
         """Sends bytes of an event.
 
         Raises:
-            ConnectionError: The caller is gone, or does not read.
+            ConnectionError: The caller has disconnected, or does not read.
         """
         try:
             async with asyncio.timeout(self._write_timeout):
@@ -309,7 +314,7 @@
             raise ConnectionAbortedError(CALLER_NOT_READING) from exc
 
     async def send_doc(self, doc: dict[str, Any]) -> None:
-        """Sends one event with a JSON document."""
+        """Sends one event that contains a JSON document."""
         await self.send(b"data: " + msgspec.json.encode(doc) + b"\n\n")
 
     async def end(self, last: bytes) -> web.StreamResponse:
@@ -322,30 +327,32 @@
 def _listen(address: str) -> socket.socket:
     host, _, port = address.rpartition(":")
     sock = socket.create_server((host, int(port)), backlog=LISTEN_BACKLOG)
-    # Connections inherit it: what a caller that reads slowly can hold up is bounded.
+    # Connections inherit the size, which bounds the data held for a caller that reads slowly.
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
     sock.setblocking(False)
     return sock
 
 
-def _text_sender(events: _EventStream, req: Request, form: ResponseBuilder) -> Callable[[str], Any]:
-    async def show(text: str) -> None:
-        opening = None if events.started else first_chunk_doc(req, form)
-        if opening is not None:
-            await events.send_doc(opening)
-        await events.send_doc(chunk_doc(req, form, text, None))
+def _text_sender(
+    events: _EventStream, req: Request, builder: ResponseBuilder
+) -> Callable[[str], Any]:
+    async def send_text(text: str) -> None:
+        first_chunk = None if events.started else first_chunk_doc(req, builder)
+        if first_chunk is not None:
+            await events.send_doc(first_chunk)
+        await events.send_doc(chunk_doc(req, builder, text, None))
 
-    return show
+    return send_text
 
 
 async def _end_stream(
-    events: _EventStream, req: Request, form: ResponseBuilder, outcome: Outcome
+    events: _EventStream, req: Request, builder: ResponseBuilder, outcome: Outcome
 ) -> web.StreamResponse:
     if not isinstance(outcome, Answered):
-        # No [DONE]: the answer is not whole, and a caller must not take it for one.
+        # Without [DONE], so that the caller does not take the partial answer for a complete one.
         await events.send_doc(error_doc(outcome))
         return await events.end(b"")
-    await events.send_doc(chunk_doc(req, form, "", outcome.finish))
+    await events.send_doc(chunk_doc(req, builder, "", outcome.finish))
     return await events.end(SSE_END)
 
 
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/httpterms.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/httpterms.py
@@ -1,7 +1,8 @@
-"""Reads what a caller says about a request in HTTP headers, and checks it.
+"""Reads and checks the terms of a request (caller, priority, deadline, key) from HTTP headers.
 
-Header values reach metrics' bounds, messages between instances and digests, so whatever could not
-be encoded there (bytes that are no UTF-8, numbers beyond the wire's) is refused here.
+Header values are used in metrics, in messages between instances and in digests, so a value that
+could not be encoded there (bytes that are not UTF-8, numbers out of the schema's range) is refused
+here.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 PRIORITY_HEADER: Final = "X-Priority"
 KEY_HEADER: Final = "Idempotency-Key"
 
-# Bounds of each number, the same as the published schema's.
+# Least and greatest value of each number, as in the published schema.
 PRIORITY_BOUNDS: Final = (-(2**31), 2**31 - 1)
 DEADLINE_BOUNDS: Final = (0, 2**32 - 1)
 
 
 def read_terms(http: web.Request) -> Terms | NotRun:
-    """Returns the terms of a request; an empty idempotency key is refused, not taken as none."""
+    """Returns the terms of a request; an empty idempotency key is malformed, not absent."""
     key = http.headers.get(KEY_HEADER)
     if key is not None and not key.strip():
         return NotRun(Reason.MALFORMED, detail=BAD_KEY)
@@ -47,7 +48,7 @@
 def _read_number(http: web.Request, name: str, bounds: tuple[int, int]) -> int | NotRun:
     least, most = bounds
     text = http.headers.get(name, "0")
-    # Longer ones are out of bounds, and slow to parse.
+    # A longer text is out of bounds, and slow to parse.
     number = int(text) if len(text) <= 12 and _is_integer(text) else None
     if number is None or not least <= number <= most:
         detail = BAD_NUMBER.format(name=name, least=least, most=most)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/intake.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/intake.py
@@ -1,7 +1,7 @@
-"""Turns what a door received into a `Request`, or says at once why that cannot be.
+"""Makes a `Request` from what the HTTP or RPC server received, or refuses it with a reason.
 
-The routing rule is resolved here, once; the request keeps the adapter version it got, whatever the
-configuration does later.
+The routing rule is resolved here, once per request: the request keeps its adapter version even if
+the configuration changes later.
 """
 
 from __future__ import annotations
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """What a caller may say about any request.
+    """Options that a caller can set on any request.
 
     Attributes:
-        caller: Who asks; empty for the shared anonymous caller.
-        priority: Greater goes first.
+        caller: Name of the caller; empty for the shared anonymous caller.
+        priority: Requests with a greater value go first.
         non_idempotent: Whether the request may run at most once.
-        key: Idempotency key; one is made for a non-idempotent request without one.
-        deadline_ms: Milliseconds from receipt; 0 for the service's default.
+        key: Idempotency key; one is generated for a non-idempotent request without one.
+        deadline_ms: Milliseconds from receipt to the deadline; 0 for the service's default.
     """
 
     caller: str = ""
@@ -63,7 +63,7 @@
 def make_generate_request(
     opts: Options, catalogue: Catalogue, model: str, prompt: str, max_tokens: int, terms: Terms
 ) -> Request | NotRun:
-    """Makes a request for text generation."""
+    """Makes a request for text generation; returns the refusal if it is not valid."""
     limits = opts.limits
     tokens = max_tokens or min(DEFAULT_TOKENS, limits.max_tokens)
     if tokens < 0:
@@ -72,9 +72,9 @@
         return NotRun(Reason.TOO_LARGE, detail=TOO_MANY_TOKENS.format(most=limits.max_tokens))
     if len(prompt) > limits.prompt_chars:
         return NotRun(Reason.TOO_LARGE, detail=PROMPT_TOO_LONG.format(most=limits.prompt_chars))
-    wrong = _invalid_term(terms)
-    if wrong:
-        return _malformed(wrong)
+    error = _invalid_term(terms)
+    if error:
+        return _malformed(error)
     name = parse_model(model)
     if name is None:
         return _malformed(BAD_MODEL)
@@ -89,16 +89,16 @@
 def make_call_request(
     opts: Options, catalogue: Catalogue, service: str, operation: str, body: bytes, terms: Terms
 ) -> Request | NotRun:
-    """Makes a request for a call to a plain service."""
+    """Makes a request that calls a plain service; returns the refusal if it is not valid."""
     if len(body) > opts.limits.body_bytes:
         return NotRun(Reason.TOO_LARGE, detail=BODY_TOO_LARGE.format(most=opts.limits.body_bytes))
-    wrong = _invalid_term(terms)
-    if wrong:
-        return _malformed(wrong)
+    error = _invalid_term(terms)
+    if error:
+        return _malformed(error)
     if not is_operation(operation):
         return _malformed(BAD_OPERATION)
-    known = catalogue.service(service)
-    if known is None or known.kind is not ServiceKind.PLAIN:
+    entry = catalogue.service(service)
+    if entry is None or entry.kind is not ServiceKind.PLAIN:
         return NotRun(Reason.NO_SUCH_SERVICE)
     if not _is_json(body):
         return _malformed(BAD_JSON)
@@ -111,7 +111,10 @@
 
 
 def _invalid_term(terms: Terms) -> str:
-    """Returns what is wrong with the texts of the terms; they travel on and are kept."""
+    """Returns an error text if the caller's name or key is too long or not printable, else "".
+
+    Both are checked because they are passed on to other processes and stored.
+    """
     if not _is_short_text(terms.caller):
         return BAD_CALLER
     return "" if _is_short_text(terms.key) else BAD_KEY
@@ -130,14 +133,14 @@
     digest: str,
 ) -> Request:
     now = monotonic()
-    made = uuid.uuid4().hex
-    key = terms.key or (make_key(unix_time(), made) if terms.non_idempotent else "")
+    request_id = uuid.uuid4().hex
+    key = terms.key or (make_key(unix_time(), request_id) if terms.non_idempotent else "")
     return Request(
-        id=made,
+        id=request_id,
         work=work,
         caller=terms.caller or ANONYMOUS_CALLER,
         priority=terms.priority,
-        # A key asks for at most one run, whether or not the caller also says so.
+        # An idempotency key means at most one run, even if `non_idempotent` is not set.
         idempotent=not key,
         key=key,
         received=now,
@@ -147,9 +150,9 @@
 
 
 def _deadline_seconds(opts: Options, catalogue: Catalogue, service: str, terms: Terms) -> float:
-    known = catalogue.service(service)
-    asked_ms = terms.deadline_ms or (known.deadline_ms if known else 0)
-    seconds = asked_ms / MS_PER_SECOND or opts.timing.default_deadline
+    entry = catalogue.service(service)
+    deadline_ms = terms.deadline_ms or (entry.deadline_ms if entry else 0)
+    seconds = deadline_ms / MS_PER_SECOND or opts.timing.default_deadline
     return min(seconds, opts.timing.max_deadline)
 
 
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/journal.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/journal.py
@@ -1,4 +1,4 @@
-"""What was decided about recent requests, for `explain` and `lookup`; bounded, in memory."""
+"""In-memory journal of the decisions on recent requests, read by `explain` and `lookup`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """One decision, `at` seconds after receipt."""
+    """One decision on a request, made `at` seconds after its receipt."""
 
     at: float
     step: str
@@ -21,7 +21,13 @@
 
 @dataclass(slots=True)
 class Entry:
-    """All that is remembered of one request."""
+    """The journal's entry for one request.
+
+    Attributes:
+        received: Monotonic time of receipt, in seconds.
+        decisions: Decisions in the order in which they were made.
+        outcome: None while the request is in progress.
+    """
 
     received: float
     decisions: list[Decision] = field(default_factory=list)
@@ -29,33 +35,33 @@
 
 
 class Journal:
-    """The last requests of this instance."""
+    """Decisions and outcomes of the most recent requests of this instance."""
 
     __slots__ = ("_entries", "_max_requests")
 
-    def __init__(self, bound: int) -> None:
-        self._max_requests = bound
+    def __init__(self, max_requests: int) -> None:
+        self._max_requests = max_requests
         self._entries: OrderedDict[str, Entry] = OrderedDict()
 
     def open(self, request: str, received: float) -> None:
-        """Begins to remember a request; the oldest one is forgotten if there are too many."""
+        """Adds an entry for a request; drops the oldest entry if the journal is full."""
         self._entries[request] = Entry(received)
         if len(self._entries) > self._max_requests:
             self._entries.popitem(last=False)
 
     def note(self, request: str, step: str, reason: str = "", detail: str = "") -> None:
-        """Remembers a decision."""
+        """Adds a decision; does nothing if the request's entry has been dropped."""
         entry = self._entries.get(request)
         if entry is not None:
             at = monotonic() - entry.received
             entry.decisions.append(Decision(at, step, reason, detail))
 
     def set_outcome(self, request: str, outcome: Outcome) -> None:
-        """Remembers how a request ended."""
+        """Stores how a request ended."""
         entry = self._entries.get(request)
         if entry is not None:
             entry.outcome = outcome
 
     def get(self, request: str) -> Entry | None:
-        """Returns what is remembered of a request."""
+        """Returns the entry of a request; None if there is none any more."""
         return self._entries.get(request)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/keys.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/keys.py
@@ -1,8 +1,8 @@
-"""Holds idempotency keys in the platform, by the rules of `wigeonarch_core.idempotency`.
+"""Stores the records of idempotency keys in the platform; see `wigeonarch_core.idempotency`.
 
-Records are completed by tasks of their own, so that a slow platform delays no answer by more than
-`SETTLE_WAIT`. A record that cannot be completed stays held, which is safe: it only keeps a
-repetition from learning the answer.
+Records are completed by background tasks, so that a slow platform delays no answer by more than
+`COMPLETION_WAIT`. A record that cannot be completed stays held, which is safe: a repetition of the
+request just does not get the answer.
 """
 
 from __future__ import annotations
@@ -37,25 +37,29 @@
 from wigeonarch_entry.platform import Found, Missing, PlatformClient, Unavailable, Written
 from wigeonarch_entry.requests import Generate, Request
 
+# Seconds after which a request whose key could not be taken should be retried.
 RETRY_AFTER: Final = 2.0
-# How long an answer waits for its record, so that a repetition right after it finds the answer.
+# Seconds that an answer waits for its record to be completed, so that a repetition right after the
+# answer finds it.
 COMPLETION_WAIT: Final = 0.25
 COMPLETION_ATTEMPTS: Final = 8
+# Longest pause after the first failed attempt, in seconds; doubles with each further one.
 COMPLETION_PAUSE: Final = 0.2
 MAX_BACKGROUND_TASKS: Final = 1000
+# Seconds between two pages of a purge that finds little to delete.
 PURGE_PAUSE: Final = 30.0
 PURGE_PAGE: Final = 50
 
 
 @dataclass(frozen=True, slots=True)
 class KeyHold:
-    """This instance may run the request, once.
+    """An idempotency key that this instance has taken; the request may be run once.
 
     Attributes:
-        name: Object name of the record.
-        version: Version at which the record was taken.
+        name: Object name of the key's record.
+        version: Version of the record as written by this instance.
         record: The record.
-        held_at: Monotonic time just before it was taken.
+        taken_at: Monotonic time just before the key was taken, in seconds.
     """
 
     name: str
@@ -65,7 +69,7 @@
 
 
 class IdempotencyKeys:
-    """Records of idempotency keys."""
+    """Takes idempotency keys and completes their records."""
 
     __slots__ = ("_background", "_instance", "_metrics", "_platform", "_retention")
 
@@ -79,66 +83,72 @@
         self._background: set[asyncio.Task[None]] = set()
 
     async def acquire(self, req: Request) -> KeyHold | Outcome:
-        """Takes the key of a request, or returns what is known of the one that has it."""
+        """Takes the key of a request.
+
+        Returns:
+            The key, or the outcome of a request that must not run: it is made from the record if
+            another request has taken the key.
+        """
         if not is_usable(req.key, unix_time(), self._retention):
             self._metrics.keys.labels("expired").inc()
-            # An earlier request with this key may have run; nobody can know any more.
+            # An earlier request with this key may have run; that can no longer be known.
             return Unknown(Reason.KEY_EXPIRED)
         name = key_name(req.service, req.key)
-        held_at = monotonic()
+        taken_at = monotonic()
         attempt = KeyAttempt(self._new_record(req))
-        taking = await self._run_attempt(name, attempt)
-        self._metrics.keys.labels(type(taking).__name__.lower()).inc()
-        if isinstance(taking, Taken):
-            return KeyHold(name, taking.version, attempt.record, held_at)
-        if isinstance(taking, Told):
-            return outcome_for(taking)
-        if taking.doubtful:
+        result = await self._run_attempt(name, attempt)
+        self._metrics.keys.labels(type(result).__name__.lower()).inc()
+        if isinstance(result, Taken):
+            return KeyHold(name, result.version, attempt.record, taken_at)
+        if isinstance(result, Told):
+            return outcome_for(result)
+        if result.doubtful:
             self._start_in_background(self._free(name, attempt.record))
         return NotRun(Reason.PLATFORM_DOWN, RETRY_AFTER)
 
-    def may_dispatch(self, hold: KeyHold, req: Request) -> bool:
-        """Tells whether a request may still be sent under its hold."""
-        return may_dispatch(hold.taken_at, monotonic(), req.deadline, self._retention)
+    def may_dispatch(self, held_key: KeyHold, req: Request) -> bool:
+        """Returns whether a request may still be sent with the key that it holds."""
+        return may_dispatch(held_key.taken_at, monotonic(), req.deadline, self._retention)
 
-    async def complete(self, hold: KeyHold, req: Request, outcome: Outcome) -> None:
-        """Records how the request ended; goes on in the background if that takes long."""
+    async def complete(self, held_key: KeyHold, req: Request, outcome: Outcome) -> None:
+        """Records how a request ended; continues in the background after `COMPLETION_WAIT`."""
         version = req.work.target.version if isinstance(req.work, Generate) else ""
-        record = completed_record(hold.record, outcome, version)
+        record = completed_record(held_key.record, outcome, version)
         if record is None:
             return
-        task = self._start_in_background(self._replace(hold.name, record, hold.version))
+        task = self._start_in_background(self._replace(held_key.name, record, held_key.version))
         if task is not None:
             await asyncio.wait([task], timeout=COMPLETION_WAIT)
 
     async def wait_completed(self) -> None:
-        """Waits until no record is to be completed any more; each one gives up by itself."""
+        """Waits until no background task is left; each gives up after a number of attempts."""
         while self._background:
             await asyncio.wait(self._background)
 
     async def lookup(self, service: str, key: str) -> KeyRecord | Unavailable | None:
-        """Reads the record of a key."""
+        """Reads the record of a key; returns None if there is none."""
         found = await self._read(key_name(service, key))
         return found if isinstance(found, Unavailable) else _record_in(found)
 
     async def purge(self) -> None:
-        """Deletes records whose time is over, a page at a time, until cancelled.
+        """Deletes expired records, one page at a time, until cancelled.
 
-        Any instance may do so, as a deletion is conditional on the version that was judged. Each
-        begins at a place of its own, and goes on without a pause only while it finds work.
+        All instances may do this at once, as a deletion is conditional on the version that was
+        read. Each starts at a random name, and pauses only briefly while more than half of a page
+        is expired.
         """
         after = uuid.uuid4().hex
         while True:
             page = await self._platform.list(KEYS, after, PURGE_PAGE)
             items = () if isinstance(page, Unavailable) else page.items
             now = unix_time()
-            old = [item for item in items if is_purgeable(_decode(item), now)]
-            for item in old:
+            expired = [item for item in items if is_purgeable(_decode(item), now)]
+            for item in expired:
                 await self._platform.delete(KEYS, item.name, item.version)
-            if old:
-                log("keys_purged", count=len(old))
+            if expired:
+                log("keys_purged", count=len(expired))
             after = items[-1].name if items and len(items) == PURGE_PAGE else ""
-            busy = len(old) > len(items) // 2
+            busy = len(expired) > len(items) // 2
             await asyncio.sleep(1.0 if busy else PURGE_PAUSE * random.uniform(0.5, 1.5))
 
     def _new_record(self, req: Request) -> KeyRecord:
@@ -152,20 +162,20 @@
         )
 
     async def _run_attempt(self, name: str, attempt: KeyAttempt) -> TakeResult:
-        """Carries an attempt out, call by call."""
-        taking: TakeResult | None = None
-        while taking is None:
-            step = attempt.next_call
-            if isinstance(step, Write):
-                taking = await self._write(name, attempt, step.expected)
+        """Makes the platform calls of an attempt to take a key, until it has a result."""
+        result: TakeResult | None = None
+        while result is None:
+            call = attempt.next_call
+            if isinstance(call, Write):
+                result = await self._write(name, attempt, call.expected)
                 continue
             found = await self._read(name)
             if isinstance(found, Unavailable):
-                taking = attempt.record_unreadable()
+                result = attempt.record_unreadable()
             else:
                 version = found.version if isinstance(found, Found) else 0
-                taking = attempt.examine(_record_in(found), version)
-        return taking
+                result = attempt.examine(_record_in(found), version)
+        return result
 
     async def _write(self, name: str, attempt: KeyAttempt, expected: int) -> Taken | GivenUp | None:
         if expected:
@@ -183,7 +193,11 @@
         return await self._platform.get(KEYS, name)
 
     def _start_in_background(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None] | None:
-        """Runs work in the background; None when there is too much: the key then stays held."""
+        """Runs work in the background.
+
+        Returns:
+            The task; None if there are too many, and then the key's record stays held.
+        """
         if len(self._background) >= MAX_BACKGROUND_TASKS:
             work.close()
             self._metrics.keys.labels("not_settled").inc()
@@ -194,27 +208,27 @@
         return task
 
     async def _replace(self, name: str, record: KeyRecord, version: int) -> None:
-        """Completes a held record; a conflict means that it is done, or no longer ours."""
-        for tried in range(COMPLETION_ATTEMPTS):
+        """Replaces a held record; a conflict means that another replacement has taken effect."""
+        for attempt_number in range(COMPLETION_ATTEMPTS):
             result = await self._platform.replace(KEYS, name, record, version)
             if not isinstance(result, Unavailable):
                 return
-            await asyncio.sleep(random.uniform(0, COMPLETION_PAUSE * 2**tried))
+            await asyncio.sleep(random.uniform(0, COMPLETION_PAUSE * 2**attempt_number))
         self._metrics.keys.labels("not_settled").inc()
         log("key_not_settled", "WARNING", key=name, request=record.request)
 
     async def _free(self, name: str, record: KeyRecord) -> None:
-        """Frees the record of an attempt that gave up, if its write took effect after all."""
-        for tried in range(COMPLETION_ATTEMPTS):
-            await asyncio.sleep(random.uniform(0, COMPLETION_PAUSE * 2**tried))
+        """Frees the record of an attempt that gave up, in case its write took effect."""
+        for attempt_number in range(COMPLETION_ATTEMPTS):
+            await asyncio.sleep(random.uniform(0, COMPLETION_PAUSE * 2**attempt_number))
             found = await self._read(name)
             if isinstance(found, Unavailable):
                 continue
-            known = _record_in(found)
-            if known is None or known.nonce != record.nonce or not isinstance(found, Found):
+            stored = _record_in(found)
+            if stored is None or stored.nonce != record.nonce or not isinstance(found, Found):
                 return
-            freed = completed_record(known, NotRun(Reason.PLATFORM_DOWN))
-            if freed is not None and known.state == KeyState.HELD:
+            freed = completed_record(stored, NotRun(Reason.PLATFORM_DOWN))
+            if freed is not None and stored.state == KeyState.HELD:
                 await self._replace(name, freed, found.version)
             return
 
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/membership.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/membership.py
@@ -1,8 +1,9 @@
-"""This instance's place among the others: its lease, the list, leases, owners and heartbeats.
+"""Membership of this instance in the deployment: its lease, its heartbeats, its view of the others.
 
-The task owns the `Fleet` aggregate; other tasks read it. The lease is one object per instance,
-renewed every third of its term, so that the platform's writes grow with the instances and not with
-the engines.
+`Membership` owns the `Fleet` aggregate and updates it from the platform's list, leases and owners
+and from heartbeats; the other parts read it. There is one lease object per instance, renewed every
+third of its term, so the number of writes to the platform grows with the number of instances and
+not of engines.
 """
 
 from __future__ import annotations
@@ -29,25 +30,26 @@
 from wigeonarch_entry.peers import Peers
 from wigeonarch_entry.platform import Found, PlatformClient, Unavailable, Written
 
-# Heartbeats go to all peers in the zone and to this many of the other zones.
+# Heartbeats are sent to all peers in the own zone and to this many peers in other zones.
 OTHER_ZONE_PEERS: Final = 8
-# Summaries go out when they have changed, and all the same with each n-th heartbeat: one may be
-# lost, and a peer may be new.
+# A heartbeat carries the summaries that have changed; every n-th one carries all of them, as a
+# heartbeat may have been lost or a peer may be new.
 FULL_SUMMARIES_EVERY: Final = 8
+# Seconds between two checks whether this process was paused.
 PAUSE_CHECK_INTERVAL: Final = 0.1
 
 
 class Membership:
-    """Keeps the lease and the fleet view.
+    """Renews this instance's lease, sends its heartbeats and follows the other instances.
 
     Attributes:
-        fleet: What is known of the deployment.
+        fleet: This instance's view of the deployment.
         lease: This instance's own lease.
         listed: Set once the platform's list has been read.
-        period: The time for which the platform has held the lease without a break.
+        lease_period: The time for which the platform has held the lease without a break.
         draining: Whether this instance is shutting down.
-        promises: Promises given to other owners.
-        reaches_platform: Whether the last call for the lease was answered.
+        promises: Promises given to other owners not to take over from them.
+        reaches_platform: Whether the last renewal of the lease was answered.
     """
 
     __slots__ = (
@@ -80,6 +82,16 @@
         applied: Callable[[], int],
         summaries: Callable[[], tuple[EngineSummary, ...]],
     ) -> None:
+        """Makes the membership.
+
+        Args:
+            opts: Settings.
+            boot: Nonce of this process.
+            platform: Client of the platform.
+            peers: Connections to the other instances.
+            applied: Returns the number of the last configuration change in force here.
+            summaries: Returns the summaries of the owned engines.
+        """
         timing = opts.timing
         self._opts = opts
         self._platform = platform
@@ -97,12 +109,14 @@
         self.lease_period = LeasePeriod(timing.lease_term, timing.lease_margin, monotonic())
         self.listed = asyncio.Event()
         self.draining = False
-        silence = timing.watch_silence
-        self._leases = Follower(platform, LEASES, silence, self._on_lease, self._on_lease_deleted)
-        self._owners = Follower(platform, OWNERS, silence, self._on_owner, _on_owner_deleted)
+        watch_timeout = timing.watch_silence
+        self._leases = Follower(
+            platform, LEASES, watch_timeout, self._on_lease, self._on_lease_deleted
+        )
+        self._owners = Follower(platform, OWNERS, watch_timeout, self._on_owner, _on_owner_deleted)
 
     async def run(self) -> None:
-        """Runs all duties until cancelled."""
+        """Runs all tasks of the membership until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._run_renewals())
             tasks.create_task(self._run_pause_detection())
@@ -113,33 +127,39 @@
 
     @property
     def reachability(self) -> PlatformReachability:
-        """Whether the platform answers."""
+        """Reachability of the platform, as seen from this instance."""
         return self._platform.reachability
 
     @property
     def initialized(self) -> bool:
-        """Whether list, leases and owners have all been seen once."""
+        """Whether the platform's list, leases and owners have all been read once."""
         events = (self.listed, self._leases.listed, self._owners.listed)
         return all(event.is_set() for event in events)
 
     async def renew_lease(self) -> bool:
-        """Renews the lease once, also to publish what this instance has applied."""
+        """Renews the lease once; this also publishes which configuration change is in force here.
+
+        Returns:
+            Whether the renewal was confirmed.
+        """
         sent_at = monotonic()
-        record = self.lease_record()
+        lease_record = self.lease_record()
         self.lease.record_attempt(sent_at)
         if self.lease.version:
             result = await self._platform.replace(
-                LEASES, record.instance, record, self.lease.version
+                LEASES, lease_record.instance, lease_record, self.lease.version
             )
         else:
-            result = await self._platform.create(LEASES, record.instance, record)
+            result = await self._platform.create(LEASES, lease_record.instance, lease_record)
         if isinstance(result, Written):
             now = monotonic()
             self.lease.record_renewal(sent_at, result.version, now)
             self.lease_period.record_renewal(sent_at, now)
             self.reaches_platform = True
             self._live_zone_peers = tuple(
-                n for n in self.fleet.live_instances_in_zone(now) if n != self.fleet.own_name
+                name
+                for name in self.fleet.live_instances_in_zone(now)
+                if name != self.fleet.own_name
             )
             return True
         self.reaches_platform = not isinstance(result, Unavailable)
@@ -147,10 +167,12 @@
         return False
 
     async def announce_leaving(self) -> None:
-        """Shows this instance as leaving in the platform's list, for balancers that follow it."""
+        """Marks this instance as leaving in the platform's list, which load balancers follow."""
         state = Presence.LEAVING
-        me = Listed(self._opts.instance, self._opts.http, self._opts.zone, Role.ENTRY, state=state)
-        await self._platform.register(me)
+        own_entry = Listed(
+            self._opts.instance, self._opts.http, self._opts.zone, Role.ENTRY, state=state
+        )
+        await self._platform.register(own_entry)
 
     async def leave(self) -> None:
         """Deletes the lease and the list entry at the end of a graceful shutdown."""
@@ -159,20 +181,23 @@
         await self._platform.unregister(self._opts.instance)
 
     def may_own(self, now: float) -> bool:
-        """Tells whether this instance can take engines."""
+        """Returns whether this instance may become the owner of engines."""
         return self.initialized and not self.draining and self.lease.is_valid(now)
 
     def zone_peers(self) -> list[str]:
-        """Returns the other instances of the zone that have ever been seen."""
+        """Returns the other instances of the zone.
+
+        These are all whose lease was ever seen, and those only known by a recent heartbeat.
+        """
         zone = self._opts.zone
-        known = [name for name, peer in self.fleet.peers.items() if peer.record.zone == zone]
-        return known + self._unknown_peers()
+        names = [name for name, peer in self.fleet.peers.items() if peer.record.zone == zone]
+        return names + self._unknown_peers()
 
     def potential_successors(self) -> list[str]:
-        """Returns those who could take over, and so must have promised not to.
+        """Returns the instances that could take over from this one, whose promises are thus needed.
 
-        They are the instances of the zone whose leases held when the platform was last reached. One
-        that is shutting down takes nothing over.
+        These are the instances of the zone whose leases held at this instance's last renewal,
+        except those that are shutting down, which take nothing over.
         """
         return [name for name in self._live_zone_peers if not self._is_draining(name)]
 
@@ -181,12 +206,12 @@
         return peer is not None and peer.heartbeat is not None and peer.heartbeat.draining
 
     def handle_moved(self, moved: Moved) -> None:
-        """Takes a former owner's word that an engine has a new owner."""
+        """Handles a former owner's message that an engine has a new owner."""
         record = OwnerRecord(moved.engine, moved.owner, moved.boot, moved.previous_fence)
         self.fleet.observe_owner(record, moved.fence)
 
     async def _read_lease_back(self) -> None:
-        """Reads the lease back after a conflict or a lost answer."""
+        """Reads the own lease after a conflict or a lost answer."""
         found = await self._platform.get(LEASES, self._opts.instance)
         if not isinstance(found, Found):
             return
@@ -194,12 +219,12 @@
         if record.boot == self.fleet.boot:
             self.lease.record_stored_version(found.version, monotonic())
             return
-        # An earlier process of this name: the next renewal replaces its lease.
+        # The lease is of an earlier process of this instance; the next renewal replaces it.
         self.fleet.observe_lease(record, found.version, monotonic())
         self.lease.record_replacement(found.version)
 
     async def _run_pause_detection(self) -> None:
-        """Notices pauses of this process, and when it has been told of everything."""
+        """Detects pauses of this process, and sets the time at which its view was complete."""
         while True:
             now = monotonic()
             paused = self.lease.record_running(now)
@@ -213,35 +238,36 @@
         pause = self._opts.timing.lease_term / 3
         while True:
             renewed = await self.renew_lease() and self.lease.is_valid(monotonic())
-            # A failed renewal is repeated sooner, with jitter; so is one that a pause has followed.
+            # A failed renewal is repeated sooner, with jitter. So is one after which the lease has
+            # already lapsed, as the process was paused.
             await asyncio.sleep(pause if renewed else random.uniform(pause / 6, pause / 2))
 
     async def _poll_list(self) -> None:
         timing = self._opts.timing
-        me = Listed(self._opts.instance, self._opts.http, self._opts.zone, Role.ENTRY)
+        own_entry = Listed(self._opts.instance, self._opts.http, self._opts.zone, Role.ENTRY)
         while True:
             asked_at = monotonic()
-            items = await self._platform.list_instances()
-            if not isinstance(items, Unavailable):
+            entries = await self._platform.list_instances()
+            if not isinstance(entries, Unavailable):
                 age = monotonic() - asked_at
-                self._apply_list(self._list.replace(self._opts.instance, items, age))
+                self._apply_list(self._list.replace(self._opts.instance, entries, age))
                 if self._opts.instance not in self.fleet.entries and not self.draining:
-                    await self._platform.register(me)
-            heard = self.fleet.instances_heard_within(timing.peer_timeout, monotonic())
-            sharing = sum(name in heard for name in self.zone_peers())
-            pause = listing.read_interval(timing.list_interval, sharing)
+                    await self._platform.register(own_entry)
+            reachable = self.fleet.instances_heard_within(timing.peer_timeout, monotonic())
+            readers = sum(name in reachable for name in self.zone_peers())
+            pause = listing.read_interval(timing.list_interval, readers)
             await asyncio.sleep(pause * random.uniform(0.8, 1.2))
 
-    def _apply_list(self, news: ListUpdate | None) -> None:
+    def _apply_list(self, update: ListUpdate | None) -> None:
         self.fleet.observe_list(self._list.items.values())
         self.listed.set()
-        if news is not None:
+        if update is not None:
             for name in self.zone_peers():
-                self._peers.send(name, news)
+                self._peers.send(name, update)
 
-    def handle_list_update(self, news: ListUpdate) -> None:
-        """Takes a zone peer's word on what has changed in the platform's list."""
-        if self._list.apply(news):
+    def handle_list_update(self, update: ListUpdate) -> None:
+        """Handles a zone peer's message on changes in the platform's list."""
+        if self._list.apply(update):
             self.fleet.observe_list(self._list.items.values())
 
     async def _run_heartbeats(self) -> None:
@@ -251,7 +277,7 @@
 
     def _send_heartbeats(self) -> None:
         now = monotonic()
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             instance=self._opts.instance,
             zone=self._opts.zone,
             boot=self.fleet.boot,
@@ -269,34 +295,36 @@
         for name in self._heartbeat_targets():
             peer = self.fleet.peers.get(name)
             echo = peer.heartbeat.sent if peer and peer.heartbeat else 0.0
-            self._peers.send(name, msgspec.structs.replace(beat, echo=echo))
+            self._peers.send(name, msgspec.structs.replace(heartbeat, echo=echo))
 
-    def handle_heartbeat(self, beat: Heartbeat) -> None:
-        """Takes a heartbeat; an instance of the zone that was not known is answered."""
-        self.fleet.observe_heartbeat(beat, monotonic())
-        if beat.instance in self.fleet.unknown_peers:
-            self._peers.connect(beat.instance, beat.peer_address)
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Handles a heartbeat; connects to an instance of the zone whose lease was never seen."""
+        self.fleet.observe_heartbeat(heartbeat, monotonic())
+        if heartbeat.instance in self.fleet.unknown_peers:
+            self._peers.connect(heartbeat.instance, heartbeat.peer_address)
 
     def _unknown_peers(self) -> list[str]:
-        until = monotonic() - self._opts.timing.lease_term
-        return [name for name, heard in self.fleet.unknown_peers.items() if heard > until]
+        oldest = monotonic() - self._opts.timing.lease_term
+        return [name for name, heard_at in self.fleet.unknown_peers.items() if heard_at > oldest]
 
     def _changed_summaries(self) -> tuple[EngineSummary, ...]:
-        """Returns the summaries that peers do not have yet, or all of them now and then."""
+        """Returns the summaries for the next heartbeat: changed ones, and all in every n-th one."""
         summaries = self._summaries()
         full = self._heartbeats_sent % FULL_SUMMARIES_EVERY == 0
         self._heartbeats_sent += 1
-        news = tuple(each for each in summaries if full or each not in self._sent_summaries)
+        changed = tuple(
+            summary for summary in summaries if full or summary not in self._sent_summaries
+        )
         self._sent_summaries = summaries
-        return news
+        return changed
 
     def _heartbeat_targets(self) -> list[str]:
-        near: list[str] = []
-        far: list[str] = []
+        same_zone: list[str] = []
+        other_zones: list[str] = []
         for name, peer in self.fleet.peers.items():
-            (near if peer.record.zone == self._opts.zone else far).append(name)
-        near += self._unknown_peers()
-        return near + random.sample(far, min(OTHER_ZONE_PEERS, len(far)))
+            (same_zone if peer.record.zone == self._opts.zone else other_zones).append(name)
+        same_zone += self._unknown_peers()
+        return same_zone + random.sample(other_zones, min(OTHER_ZONE_PEERS, len(other_zones)))
 
     def lease_record(self) -> LeaseRecord:
         """Returns the lease record that a renewal stores."""
@@ -330,4 +358,4 @@
 
 
 def _on_owner_deleted(_name: str) -> None:
-    """Ownership objects are never deleted; a stray deletion changes nothing."""
+    """Does nothing: ownership objects are never deleted, and a stray deletion changes nothing."""
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/metrics.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of one instance, in the Prometheus form.
+"""Prometheus metrics of one instance.
 
-A registry is made per instance, not per process, so that several instances in one event loop (the
-demo, tests) keep their figures apart.
+The registry belongs to the instance, not to the process, so that several instances in one event
+loop (in the demo and in tests) have separate metrics.
 """
 
 from __future__ import annotations
@@ -103,7 +103,7 @@
         self._create_labelled_counters()
 
     def _create_labelled_counters(self) -> None:
-        """Makes each labelled counter of requests, so that a rate has a value before its first."""
+        """Creates the labelled request counters at 0, so that rates are defined from the start."""
         for kind in OUTCOME_KINDS:
             self.requests.labels(kind)
         for reason in Reason:
@@ -113,5 +113,5 @@
             self.resumes.labels(reason)
 
     def exposition(self) -> bytes:
-        """Returns the exposition format of all metrics."""
+        """Returns all metrics in the Prometheus exposition format."""
         return generate_latest(self.registry)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/node.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/node.py
@@ -1,4 +1,4 @@
-"""One entry instance: makes the parts, starts their tasks, and shuts down gracefully."""
+"""One entry instance: creates its components, runs their tasks, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -49,10 +49,10 @@
 from wigeonarch_entry.rpcserver import RpcServer
 from wigeonarch_entry.services import ServiceClient
 
-# Random bytes of the nonce that tells one process of an instance from the next.
+# Random bytes of the nonce that distinguishes one process of an instance from the next.
 BOOT_NONCE_BYTES: Final = 8
-# The platform's watches carry a line a second, so a longer silence means that it is out of reach;
-# that must be noticed before the lease ends.
+# Seconds. A watch of the platform carries a line every second, so a longer silence means that the
+# platform is unreachable; that must be detected before the lease ends.
 MAX_PLATFORM_SILENCE: Final = 2.0
 
 
@@ -83,7 +83,7 @@
     )
 
     def __init__(self, opts: Options) -> None:
-        """Makes the parts; must run in an event loop."""
+        """Creates the components; must run in an event loop."""
         self.opts = opts
         timing = opts.timing
         metrics = Metrics()
@@ -142,7 +142,7 @@
         self._http_server = HttpServer(
             opts, catalogue, self._dispatcher, metrics, refusals, self.refusal_reason
         )
-        parts = Dependencies(
+        deps = Dependencies(
             opts,
             self._membership,
             self._configuration,
@@ -154,7 +154,7 @@
             self.refusal_reason,
             self.drain,
         )
-        self._rpc_server = RpcServer(parts)
+        self._rpc_server = RpcServer(deps)
         self._tasks: list[asyncio.Task[None]] = []
         self._handlers = {
             GrantRequest: self._owner_duties.handle_grant_request,
@@ -177,7 +177,7 @@
         }
 
     def refusal_reason(self) -> Reason | None:
-        """Tells why this instance takes no request now; None when it takes them."""
+        """Returns why this instance accepts no request now; None when it accepts requests."""
         if self._membership.draining:
             return Reason.DRAINING
         if not (self._membership.initialized and self._owner_duties.first_pass_done):
@@ -185,31 +185,31 @@
         return self._configuration.refusal_reason()
 
     def drain(self) -> None:
-        """Begins the graceful shutdown; repeating it changes nothing."""
+        """Starts the graceful shutdown; further calls have no effect."""
         if not self._membership.draining:
             log("draining", in_progress=self._dispatcher.in_progress)
         self._membership.draining = True
         self._drain_requested.set()
 
     async def start(self) -> None:
-        """Opens the doors and starts all tasks."""
-        works = (
+        """Starts all tasks and both servers."""
+        coroutines = (
             self._peers.receive(),
             self._membership.run(),
             self._configuration.run(),
             self._owner_duties.run(),
             self._keys.purge(),
         )
-        self._tasks = [asyncio.create_task(work) for work in works]
+        self._tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
         await self._http_server.start()
         await self._rpc_server.start()
         log("listening", http=self.opts.http, rpc=self.opts.rpc, peer=self.opts.peer)
 
     async def serve(self) -> None:
-        """Serves until drained; ends only when no request is in progress.
+        """Serves until the instance has drained, so that no request is in progress, and stops.
 
         Raises:
-            BaseExceptionGroup: A task failed, which is a broken invariant.
+            BaseExceptionGroup: A task failed, which means that an invariant was broken.
         """
         drained = asyncio.create_task(self._run_drain())
         done, _ = await asyncio.wait([drained, *self._tasks], return_when=asyncio.FIRST_COMPLETED)
@@ -218,9 +218,9 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Closes the doors and ends all tasks."""
+        """Stops both servers, ends all tasks and closes all connections."""
         await self._http_server.stop()
-        # No request outlives the longest deadline, so neither does a call whose answer is sent.
+        # No request outlives the longest deadline, so no call whose response is being sent does.
         await self._rpc_server.stop(self.opts.timing.max_deadline)
         for task in self._tasks:
             task.cancel()
@@ -232,29 +232,30 @@
         log("stopped")
 
     async def _run_drain(self) -> None:
-        """Ends once nothing is left that this instance must do; no time cuts that off.
+        """Waits until a drain is requested, then drains; returns once no work is left.
 
-        Not ready comes first (probe and list), then ownerships leave; the door stays open until
-        balancers have had time to see it, and until each request in progress has ended.
+        First the instance shows itself as not ready, to probes and in the platform's list; then it
+        hands its engines over. The servers keep listening until load balancers have had time to
+        notice and every request in progress has ended. No timeout cuts this short.
         """
         await self._drain_requested.wait()
-        seen = asyncio.create_task(asyncio.sleep(self.opts.timing.drain_notice))
+        notice = asyncio.create_task(asyncio.sleep(self.opts.timing.drain_notice))
         await self._membership.announce_leaving()
         await self._await_drain_step(
             "hand_over", asyncio.create_task(self._owner_duties.hand_over())
         )
-        await self._await_drain_step("balancers", seen)
+        await self._await_drain_step("balancers", notice)
         await self._await_drain_step("requests", asyncio.create_task(self._dispatcher.wait_idle()))
         await self._await_drain_step("keys", asyncio.create_task(self._keys.wait_completed()))
         await self._owner_duties.vacate()
         await self._membership.leave()
 
-    async def _await_drain_step(self, what: str, task: asyncio.Task[None]) -> None:
-        """Waits for a part of the shutdown, saying so now and then."""
+    async def _await_drain_step(self, step: str, task: asyncio.Task[None]) -> None:
+        """Waits for one step of the shutdown, logging at intervals which step it waits for."""
         while not task.done():
             await asyncio.wait([task], timeout=self.opts.timing.drain_report)
             if not task.done():
-                log("drain_waits", waits_for=what, in_progress=self._dispatcher.in_progress)
+                log("drain_waits", waits_for=step, in_progress=self._dispatcher.in_progress)
         task.result()
 
     def _send(self, name: str, message: Message) -> None:
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/orders.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/orders.py
@@ -1,9 +1,10 @@
-"""Orders to engines: loads with the evictions before them, and the announcement of an ownership.
+"""Orders to engines: loads, evictions that make room for them, and announcements of an ownership.
 
-Each order is judged twice: when it is decided, and again when its connection is open and the next
-step is to write it. An eviction needs more than the present right: enough of the lease must be left
-for its whole duration, so that it can't arrive in a successor's time. One whose answer is lost is
-repeated until the engine answers it, since until then the copy may still go at any moment.
+Whether an order is allowed is checked twice: when it is decided, and again on the open connection
+right before it is written. An eviction is allowed only if enough of the lease is left for its whole
+duration, so that it can't arrive at the engine after a successor has become its owner. If its
+answer is lost, it is repeated until the engine answers, as the copy may be evicted at any moment
+until then.
 """
 
 from __future__ import annotations
@@ -23,35 +24,44 @@
 from wigeonarch_entry.owned import OwnedEngine, OwnerContext
 from wigeonarch_entry.sending import send_only_if
 
+# Timeouts and intervals in seconds.
 LOAD_TIMEOUT: Final = 60.0
 EVICT_TIMEOUT: Final = 1.0
 EVICT_RETRY_INTERVAL: Final = 0.2
 ANNOUNCE_TIMEOUT: Final = 1.0
-# What an engine answers when it has certainly carried an eviction out or will never do so.
+# Reasons after which an engine certainly has carried out an eviction or never will; "" means done.
 FINAL_EVICTION_REASONS: Final = frozenset({"", "not_loaded", "fenced"})
 FENCED: Final = "fenced"
+# An adapter version that no engine has; evicting it changes nothing.
 NO_ADAPTER: Final = AdapterVersion("", "-", "-")
 
 
 class Orders:
-    """Loads, evictions and announcements on the owned engines."""
+    """Sends loads, evictions and announcements to the owned engines."""
 
     __slots__ = ("_ctx", "_on_fenced", "_permits")
 
     def __init__(
-        self, ctx: OwnerContext, turns: LoadPermitCoordinator, fenced: Callable[[str], None]
+        self, ctx: OwnerContext, permits: LoadPermitCoordinator, on_fenced: Callable[[str], None]
     ) -> None:
-        """Makes the orders' keeper; `fenced` is told of engines that know a newer owner."""
+        """Makes the sender.
+
+        Args:
+            ctx: Context of the owner duties.
+            permits: Load permits, to find their coordinator.
+            on_fenced: Called with the name of an engine that refused an order because it knows a
+                newer owner.
+        """
         self._ctx = ctx
-        self._permits = turns
-        self._on_fenced = fenced
+        self._permits = permits
+        self._on_fenced = on_fenced
 
     def start(self, owned: OwnedEngine) -> None:
-        """Begins to give orders to an engine."""
+        """Starts the task that bids for loads of an engine."""
         owned.start(self._run_bids(owned))
 
     async def _run_bids(self, owned: OwnedEngine) -> None:
-        """Asks for the turn to load whenever the engine wants a load."""
+        """Announces the ownership, then bids for a load permit whenever the engine wants a load."""
         interval = self._ctx.opts.timing.report_interval
         while True:
             now = monotonic()
@@ -65,17 +75,17 @@
         bid = owned.scheduler.best_bid(now)
         if bid is None:
             return
-        me = self._ctx.opts.instance
-        message = LoadBid(owned.bid_id, me, owned.engine, bid.target, bid.value)
+        own_name = self._ctx.opts.instance
+        message = LoadBid(owned.bid_id, own_name, owned.engine, bid.target, bid.value)
         self._ctx.send(self._permits.coordinator(now), message)
 
-    def handle_load_permit(self, turn: LoadPermit) -> None:
-        """Starts the load that this instance has been given the turn for."""
+    def handle_load_permit(self, permit: LoadPermit) -> None:
+        """Starts the load that the permit is for; returns the permit if the engine is not owned."""
         for owned in self._ctx.owned.values():
-            if owned.bid_id == turn.bid:
+            if owned.bid_id == permit.bid:
                 self._start_load(owned)
                 return
-        self._end_permit(turn.bid)
+        self._end_permit(permit.bid)
 
     def _start_load(self, owned: OwnedEngine) -> None:
         now = monotonic()
@@ -91,23 +101,27 @@
         self, owned: OwnedEngine, target: AdapterVersion, victim: AdapterVersion | None, bid_id: str
     ) -> None:
         try:
-            done = victim is None or await self._evict(owned, victim)
-            if done:
-                done = await self._order_load(owned, target)
-            owned.scheduler.finish_load(target, done, monotonic())
+            succeeded = victim is None or await self._evict(owned, victim)
+            if succeeded:
+                succeeded = await self._order_load(owned, target)
+            owned.scheduler.finish_load(target, succeeded, monotonic())
         finally:
             self._end_permit(bid_id)
             owned.wake.set()
 
     async def _evict(self, owned: OwnedEngine, victim: AdapterVersion) -> bool:
-        """Evicts a copy; returns whether it has gone, once that is certain."""
+        """Evicts a copy of an adapter version.
+
+        Returns:
+            Whether the engine no longer has the copy, once that is certain.
+        """
         sent = False
         while True:
             now = monotonic()
             if self._may_evict(owned, victim, now):
-                bound = min(EVICT_TIMEOUT, self._ctx.lease.remaining(now))
+                time_limit = min(EVICT_TIMEOUT, self._ctx.lease.remaining(now))
                 result = await self._send_order(
-                    owned, "evict", victim, bound, lambda: self._may_evict(owned, victim)
+                    owned, "evict", victim, time_limit, lambda: self._may_evict(owned, victim)
                 )
                 if result.reason in FINAL_EVICTION_REASONS:
                     return result.done or result.reason == "not_loaded"
@@ -117,34 +131,34 @@
             await asyncio.sleep(EVICT_RETRY_INTERVAL)
 
     def _may_evict(
-        self, owned: OwnedEngine, victim: AdapterVersion, at: float | None = None
+        self, owned: OwnedEngine, victim: AdapterVersion, checked_at: float | None = None
     ) -> bool:
-        now = monotonic() if at is None else at
-        lease, custody = self._ctx.lease, owned.engine_grants
+        now = monotonic() if checked_at is None else checked_at
+        lease, engine_grants = self._ctx.lease, owned.engine_grants
         return (
-            is_confirmed(custody.ownership, lease, now)
-            and custody.announced
+            is_confirmed(engine_grants.ownership, lease, now)
+            and engine_grants.announced
             and lease.remaining(now) >= self._ctx.opts.timing.lease_margin
-            and custody.may_evict(victim, now)
+            and engine_grants.may_evict(victim, now)
             and owned.scheduler.pin_count(victim) == 0
         )
 
     async def _order_load(self, owned: OwnedEngine, target: AdapterVersion) -> bool:
-        usable = self._confirmation(owned)
-        if not usable():
+        may_send = self._confirmation(owned)
+        if not may_send():
             return False
-        result = await self._send_order(owned, "load", target, LOAD_TIMEOUT, usable)
+        result = await self._send_order(owned, "load", target, LOAD_TIMEOUT, may_send)
         return result.done
 
     async def _announce(self, owned: OwnedEngine) -> None:
-        """Shows the fencing number to an engine that checks it, by an order that changes nothing.
+        """Sends the fencing token to an engine that checks it, with an order that changes nothing.
 
-        From its answer on the engine refuses whatever an older owner still has in hand.
+        Once the engine has answered, it refuses all orders of older owners.
         """
-        usable = self._confirmation(owned)
-        if not usable():
+        may_send = self._confirmation(owned)
+        if not may_send():
             return
-        result = await self._send_order(owned, "evict", NO_ADAPTER, ANNOUNCE_TIMEOUT, usable)
+        result = await self._send_order(owned, "evict", NO_ADAPTER, ANNOUNCE_TIMEOUT, may_send)
         owned.engine_grants.announced = result.done or result.reason == "not_loaded"
         owned.wake.set()
 
@@ -156,15 +170,15 @@
         owned: OwnedEngine,
         order: str,
         target: AdapterVersion,
-        bound: float,
-        usable: Callable[[], bool],
+        time_limit: float,
+        may_send: Callable[[], bool],
     ) -> OrderResult:
         address = self._ctx.address(owned.engine)
         if address is None:
             return OrderResult(False, NEVER_SENT)
-        give = self._ctx.engines.evict if order == "evict" else self._ctx.engines.load
-        with send_only_if(usable):
-            result = await give(address, owned.fence, target, bound)
+        send = self._ctx.engines.evict if order == "evict" else self._ctx.engines.load
+        with send_only_if(may_send):
+            result = await send(address, owned.fence, target, time_limit)
         self._ctx.metrics.orders.labels(order, result.reason or "done").inc()
         log(
             "engine_order",
@@ -184,4 +198,6 @@
         self._ctx.send(self._permits.coordinator(monotonic()), ended)
 
 
+# Reason of an order that was not sent: the class name of `NoLongerUsableError`, which is also used
+# if the engine has no address.
 NEVER_SENT: Final = "NoLongerUsableError"
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/owned.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/owned.py
@@ -1,4 +1,4 @@
-"""One engine owned by this instance, and what the owner duties share."""
+"""The state of one engine owned by this instance, and the context shared by the owner duties."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     """One owned engine.
 
     Attributes:
-        custody: What the owner may do there.
-        scheduler: Its queue, pins and slots.
-        wake: Set when the queue should be looked at.
-        tasks: Work that ends with the ownership.
-        asks: Last round of each ask that waits or is pinned.
-        granted: Grants in use, to be told again.
-        loads: Loads under way.
-        successor: To whom it is being handed over; empty otherwise.
+        engine_grants: The ownership, and the grants that requesters have been sent or declared.
+        scheduler: The engine's queue, pins and slots.
+        wake: Set when the scheduler should decide again.
+        tasks: Tasks that are cancelled when the ownership ends.
+        requests: Last round of each grant request that waits or is granted, by dispatch id.
+        sent_grants: Grants in use, by dispatch id; sent again when the request is repeated.
+        loads: Loads in progress.
+        successor: Instance that the engine is being handed over to; empty otherwise.
     """
 
     engine_grants: EngineGrants
@@ -54,23 +54,23 @@
 
     @property
     def fence(self) -> int:
-        """Fencing number of the ownership."""
+        """Fencing token of the ownership."""
         return self.engine_grants.ownership.fence
 
     @property
     def bid_id(self) -> str:
-        """Id of this engine's bid for the turn to load; one engine has one bid at a time."""
+        """Id of this engine's bid for a load permit; an engine has one bid at a time."""
         return f"{self.engine}#{self.fence}"
 
     def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Runs work that ends with the ownership."""
+        """Runs work in a task that is cancelled when the ownership ends."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     def start_load(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs a load, which a hand-over waits for."""
+        """Runs a load in a task; a hand-over waits for it to end."""
         task = self.start(work)
         self.loads.add(task)
         task.add_done_callback(self.loads.discard)
@@ -78,16 +78,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerContext:
-    """What the owner duties share.
+    """Context shared by the owner duties.
 
     Attributes:
         opts: Settings.
-        platform: The platform.
-        membership: This instance's place among the others.
-        engines: Calls to engines.
-        send: Delivers to any instance, this one included.
+        platform: Client of the platform.
+        membership: This instance's lease and its view of the other instances.
+        engines: Client of the engines.
+        send: Sends a message to an instance, also to this one.
         metrics: Counters.
-        checks_fence: Tells whether an endpoint of a service refuses old fencing numbers.
+        checks_fence: Returns whether an endpoint (service, name) refuses orders with an old fencing
+            token.
         owned: The owned engines, by name.
     """
 
@@ -102,7 +103,7 @@
 
     @property
     def fleet(self) -> Fleet:
-        """What is known of the deployment."""
+        """This instance's view of the deployment."""
         return self.membership.fleet
 
     @property
@@ -112,10 +113,10 @@
 
     @property
     def identity(self) -> tuple[str, str]:
-        """Name of this instance and nonce of this process."""
+        """Name of this instance and the nonce of this process."""
         return self.opts.instance, self.fleet.boot
 
     def address(self, engine: str) -> str | None:
-        """Returns the address of an engine; None when it is gone."""
+        """Returns the address of an engine; None if the engine is no longer listed."""
         endpoint = self.fleet.endpoints.get(engine)
         return None if endpoint is None else endpoint.listed.address
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/peers.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/peers.py
@@ -1,8 +1,8 @@
 """Messages between instances, over one ZeroMQ ROUTER socket and one DEALER socket per peer.
 
-All messages travel one way, from a DEALER to the other side's ROUTER; an answer goes through the
-answering side's own DEALER. Sending never waits: a peer that does not take messages loses them, and
-every protocol above copes with a lost message by asking again or by timing out.
+Messages travel only from a DEALER to the receiver's ROUTER; a reply is sent through the replying
+instance's own DEALER. Sending never blocks: a message that a peer does not take is dropped. Each
+protocol on top handles a lost message by repeating it or by a timeout.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Peers:
-    """The sockets between this instance and the others."""
+    """The sockets that connect this instance to the others."""
 
     __slots__ = ("_context", "_deliver", "_links", "_metrics", "_router", "_source")
 
@@ -33,7 +33,14 @@
         metrics: Metrics,
         source: str = "",
     ) -> None:
-        """Listens on `address`; `source` is the IP that connections come from, if it matters."""
+        """Listens for messages.
+
+        Args:
+            address: `IP:PORT` to listen on.
+            deliver: Called with each message that arrives.
+            metrics: Counters.
+            source: Local IP address of outgoing connections; empty to let the system choose.
+        """
         self._source = f"{source}:0;" if source else ""
         self._deliver = deliver
         self._metrics = metrics
@@ -46,7 +53,7 @@
         self._router.bind(f"tcp://{address}")
 
     async def receive(self) -> None:
-        """Hands each message that arrives to the receiver; runs until cancelled."""
+        """Delivers each message that arrives; runs until cancelled."""
         while True:
             frames = await self._router.recv_multipart()
             self._metrics.peer_messages.labels("in").inc()
@@ -58,7 +65,7 @@
             self._deliver(message)
 
     def connect(self, name: str, address: str) -> None:
-        """Makes sure that messages to a peer go to this address."""
+        """Connects to a peer; reconnects if its address has changed."""
         known = self._links.get(name)
         if known is not None and known[0] == address:
             return
@@ -66,7 +73,7 @@
         link: zmq.asyncio.Socket = self._context.socket(zmq.DEALER)
         link.setsockopt(zmq.LINGER, 0)
         link.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
-        # A connection that went silent is closed and opened anew by the library's own heartbeat.
+        # ZeroMQ's own heartbeat closes and reopens a connection that has gone silent.
         link.setsockopt(zmq.HEARTBEAT_IVL, 500)
         link.setsockopt(zmq.HEARTBEAT_TIMEOUT, 1500)
         link.setsockopt(zmq.RECONNECT_IVL, 50)
@@ -75,13 +82,13 @@
         self._links[name] = (address, link)
 
     def disconnect(self, name: str) -> None:
-        """Forgets a peer."""
+        """Closes the connection to a peer."""
         known = self._links.pop(name, None)
         if known is not None:
             known[1].close()
 
     def send(self, name: str, message: Message) -> bool:
-        """Sends a message; False when it was dropped at once."""
+        """Sends a message without blocking; returns False if it was dropped at once."""
         known = self._links.get(name)
         if known is None:
             self._metrics.peer_messages_dropped.inc()
@@ -90,7 +97,7 @@
         self._metrics.peer_messages.labels("out").inc()
         self._metrics.control_bytes.labels("peers", "out").inc(len(frame))
         try:
-            # The shadowed blocking socket sends at once or raises; no future is made.
+            # The blocking socket behind the asyncio one sends at once or raises, without a future.
             zmq.Socket.shadow(known[1]).send(frame, zmq.NOBLOCK)
         except zmq.Again:
             self._metrics.peer_messages_dropped.inc()
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/platform.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/platform.py
@@ -1,7 +1,8 @@
 """Client of the platform's object API; the only module that knows its protocol.
 
-Each call ends in a tagged result. `Unavailable` says whether the call may have taken effect, so
-that a writer knows when it must read back. Addresses are tried in turn after a failure.
+Each call returns one of several result classes. `Unavailable` says whether the call may have taken
+effect, so that a writer knows when it must read the object back. After a failure the client goes on
+to the next of the platform's addresses.
 """
 
 from __future__ import annotations
@@ -37,26 +38,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """There is no such object."""
+    """The object does not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """The write took effect as this version."""
+    """The write took effect; `version` is the new version of the object."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The write had no effect, as the object is at another version (0: absent)."""
+    """The write had no effect; the object is at another version, `version` (0: it is absent)."""
 
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """No usable answer; `maybe` tells whether a write may have taken effect all the same."""
+    """There was no usable response.
+
+    Attributes:
+        may_have_written: Whether a write may have taken effect all the same.
+        detail: Description of the fault.
+    """
 
     may_have_written: bool
     detail: str
@@ -64,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """A page of objects in the order of their names, and the revision it was read at."""
+    """A page of objects in order of name, and the store's revision at which it was read."""
 
     items: tuple[Found, ...]
     revision: int
@@ -73,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """A change that a watch reports; a bookmark has an empty name, a deletion no value."""
+    """An event of a watch; a bookmark has an empty name, a deletion has no value."""
 
     name: str
     version: int
@@ -88,10 +94,10 @@
 
 
 class PlatformClient:
-    """Calls to the platform on behalf of one instance.
+    """Client of the platform for one instance.
 
     Attributes:
-        reach: Whether it has been answering.
+        reachability: Tracks whether the platform has been answering.
     """
 
     __slots__ = ("_address_index", "_addresses", "_metrics", "_session", "_timeout", "reachability")
@@ -103,14 +109,14 @@
         zone: str,
         timeout: float,
         metrics: Metrics,
-        reach: PlatformReachability,
+        reachability: PlatformReachability,
         source: str = "",
     ) -> None:
-        """Makes the client; `source` is the IP that connections come from, if it matters."""
+        """Makes the client; `source` is the local IP to connect from, empty for any."""
         self._addresses = addresses
         self._address_index = 0
         self._metrics = metrics
-        self.reachability = reach
+        self.reachability = reachability
         self._timeout = aiohttp.ClientTimeout(total=timeout)
         self._session = aiohttp.ClientSession(
             headers={INSTANCE_HEADER: instance, ZONE_HEADER: zone},
@@ -144,7 +150,7 @@
         return Page(items, doc["revision"], doc["more"])
 
     async def create(self, kind: str, name: str, value: msgspec.Struct) -> WriteResult:
-        """Creates an object on condition that there is none."""
+        """Creates an object on condition that it does not exist."""
         return await self._write("create", kind, name, value, {"If-None-Match": "*"})
 
     async def replace(
@@ -160,7 +166,7 @@
         return _write_result(await self._call("delete", "DELETE", path, None, headers))
 
     async def list_instances(self) -> tuple[Listed, ...] | Unavailable:
-        """Reads the lagging list of instances."""
+        """Reads the platform's list of instances, which lags behind the real state."""
         reply = await self._call("instances", "GET", "/v1/instances")
         if isinstance(reply, Unavailable):
             return reply
@@ -184,7 +190,7 @@
         """Yields the changes of a kind after revision `since`.
 
         The iterator ends with `Unavailable` when the watch breaks, is refused (the revision may be
-        too old) or is silent for longer than `silence` seconds; it is then to be opened anew.
+        too old) or is silent for longer than `silence` seconds; the caller then opens a new watch.
         """
         url = f"http://{self._address()}/v1/watch/{kind}?since={since}"
         timeout = aiohttp.ClientTimeout(total=None, connect=silence, sock_read=silence)
@@ -219,7 +225,11 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, Any] | Unavailable:
-        """Makes one call; statuses that answer it (2xx, 404, 412) come back with the document."""
+        """Makes one call.
+
+        Returns:
+            The status and the document if the platform answered the call (200, 404, 412).
+        """
         url = f"http://{self._address()}{path}"
         try:
             async with self._session.request(
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/reading.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/reading.py
@@ -1,9 +1,11 @@
-"""Reads the answer to one dispatch whole, over as many streams as that takes.
+"""Reads the complete answer to one dispatch, over as many streams as necessary.
 
-A stream that breaks or goes silent is resumed on a new connection from the first chunk that is
-missing. That goes on for as long as chunks come now and then: a reset connection can lose what had
-arrived, so a resume that brings nothing says little. A request that could be run afresh elsewhere
-does not wait for an engine that takes no connections; one that could not does.
+A stream that breaks or goes silent is resumed on a new connection, from the first missing chunk. It
+is resumed for as long as new chunks arrive from time to time: a reset connection can lose data that
+had already arrived, so a resume without a new chunk does not mean that the engine has stopped.
+
+If the engine accepts no connection, a request that may run again elsewhere is not resumed; one that
+may not, or whose answer has been streamed in part, is.
 """
 
 from __future__ import annotations
@@ -26,13 +28,13 @@
 from wigeonarch_entry.metrics import Metrics
 from wigeonarch_entry.requests import Request, SendText
 
-# For how many times the silence bound a stream is resumed without one new chunk.
+# A stream is resumed until no new chunk has come for this many times the token timeout.
 RESUME_WINDOW_FACTOR: Final = 3
 MIN_RESUME_PAUSE: Final = 0.02
 MAX_RESUME_PAUSE: Final = 0.5
 _RESUMABLE: Final = frozenset({Event.LOST, Event.SILENT})
 _FINISH_FAILURES: Final[dict[str, tuple[Event, Reason]]] = {
-    # The engine cancels a generation at its deadline, a moment before this instance may notice.
+    # An engine cancels a generation at its deadline, perhaps before this instance notices it.
     "cancelled": (Event.DEADLINE, Reason.DEADLINE),
 }
 _OTHER_FAILURE: Final = (Event.ERROR, Reason.ENDPOINT_ERROR)
@@ -40,7 +42,7 @@
 
 @dataclass(slots=True)
 class _PartialAnswer:
-    """The part of an answer that has come."""
+    """The part of an answer that has arrived."""
 
     texts: list[str] = field(default_factory=list)
     tokens: int = 0
@@ -49,7 +51,7 @@
 
 
 class AnswerReader:
-    """The reading of one dispatch's answer."""
+    """Reads the answer to one dispatch."""
 
     __slots__ = (
         "_answer",
@@ -82,40 +84,60 @@
         self._answer = _PartialAnswer()
 
     async def run(
-        self, address: str, gen: Generation, timing: Timing, usable: Callable[[], bool]
+        self, address: str, gen: Generation, timing: Timing, may_send: Callable[[], bool]
     ) -> Outcome | FailedAttempt:
-        """Starts a generation, while its grant is `usable`, and reads its answer."""
+        """Starts a generation and reads its answer.
+
+        Args:
+            address: `IP:PORT` of the engine.
+            gen: The generation.
+            timing: Timeouts.
+            may_send: Called right before the request is sent; if it returns False, as when its
+                grant has expired, nothing is sent.
+
+        Returns:
+            The outcome, or the failure that ended the attempt.
+        """
         stream = self._engines.generate(
-            address, gen, timing.first_token_timeout, timing.token_timeout, usable
+            address, gen, timing.first_token_timeout, timing.token_timeout, may_send
         )
-        broken = await self._read_stream(stream)
-        if broken is not None and broken.event is Event.CONNECT_FAILED:
-            return FailedAttempt(Phase.QUEUED, broken.event, broken.reason, NO_ENDPOINT_RETRY)
-        cause = broken
-        if broken is not None:
-            broken = await self._resume(broken, address, gen, timing.token_timeout)
-        if cause is None or broken is None:
+        last_break = await self._read_stream(stream)
+        if last_break is not None and last_break.event is Event.CONNECT_FAILED:
+            return FailedAttempt(
+                Phase.QUEUED, last_break.event, last_break.reason, NO_ENDPOINT_RETRY
+            )
+        first_break = last_break
+        if last_break is not None:
+            last_break = await self._resume(last_break, address, gen, timing.token_timeout)
+        if first_break is None or last_break is None:
             return self._outcome()
-        # What a failed resume says about itself says nothing about whether the request ran.
-        told = broken if broken.event is Event.MISMATCH else cause
+        # How a resume failed does not tell whether the request ran, so the first break counts. The
+        # exception is a mismatch: it means that another adapter version answered.
+        reported = last_break if last_break.event is Event.MISMATCH else first_break
         phase = Phase.RUNNING if self._answer.next_seq else Phase.SENT
-        return FailedAttempt(phase, told.event, told.reason, NO_ENDPOINT_RETRY)
+        return FailedAttempt(phase, reported.event, reported.reason, NO_ENDPOINT_RETRY)
 
     async def _resume(
-        self, broken: StreamBroken, address: str, gen: Generation, silence: float
+        self, broken: StreamBroken, address: str, gen: Generation, token_timeout: float
     ) -> StreamBroken | None:
-        """Resumes a broken stream until it ends well, or no chunk comes for too long."""
+        """Resumes a broken stream until it is complete or no new chunk has come for too long.
+
+        Returns:
+            None if the stream is complete, otherwise its last break.
+        """
         latest: StreamBroken | None = broken
         fruitless = 0
-        until = monotonic() + RESUME_WINDOW_FACTOR * silence
+        until = monotonic() + RESUME_WINDOW_FACTOR * token_timeout
         while latest is not None and self._may_resume(latest) and monotonic() < until:
-            begun = self._answer.next_seq
+            next_seq = self._answer.next_seq
             self._metrics.resumes.labels(latest.reason).inc()
-            self._journal.note(self._req.id, "resume", latest.reason, f"from {begun}")
-            latest = await self._read_stream(self._engines.resume(address, gen, begun, silence))
-            if self._answer.next_seq > begun:
+            self._journal.note(self._req.id, "resume", latest.reason, f"from {next_seq}")
+            latest = await self._read_stream(
+                self._engines.resume(address, gen, next_seq, token_timeout)
+            )
+            if self._answer.next_seq > next_seq:
                 fruitless = 0
-                until = monotonic() + RESUME_WINDOW_FACTOR * silence
+                until = monotonic() + RESUME_WINDOW_FACTOR * token_timeout
                 continue
             fruitless += 1
             await asyncio.sleep(
@@ -131,28 +153,28 @@
     async def _read_stream(
         self, stream: AsyncIterator[Chunk | StreamBroken]
     ) -> StreamBroken | None:
-        """Reads one stream to its end; returns how it broke, if it did."""
-        tally = self._answer
-        last = self._req.received
+        """Reads one stream to its end; returns how it broke, or None if it is complete."""
+        answer = self._answer
+        last_time = self._req.received
         async for item in stream:
             if isinstance(item, StreamBroken):
                 return item
             now = monotonic()
-            timer = self._metrics.between_tokens if tally.next_seq else self._metrics.first_token
-            timer.observe(now - last)
-            last = now
-            tally.next_seq = item.seq + 1
-            tally.tokens += item.tokens
-            tally.texts.append(item.text)
-            tally.finish = item.finish
+            timer = self._metrics.between_tokens if answer.next_seq else self._metrics.first_token
+            timer.observe(now - last_time)
+            last_time = now
+            answer.next_seq = item.seq + 1
+            answer.tokens += item.tokens
+            answer.texts.append(item.text)
+            answer.finish = item.finish
             if self._send_text is not None and item.text:
                 self._progress.streamed = True
                 await self._send_text(item.text)
         return None
 
     def _outcome(self) -> Outcome | FailedAttempt:
-        tally = self._answer
-        if tally.finish in ("stop", "length"):
-            return Answered("".join(tally.texts), tally.tokens, tally.finish)
-        event, reason = _FINISH_FAILURES.get(tally.finish, _OTHER_FAILURE)
+        answer = self._answer
+        if answer.finish in ("stop", "length"):
+            return Answered("".join(answer.texts), answer.tokens, answer.finish)
+        event, reason = _FINISH_FAILURES.get(answer.finish, _OTHER_FAILURE)
         return FailedAttempt(Phase.RUNNING, event, reason)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/refusals.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals at a door: counted, logged, and remembered, so that `explain` can tell them too."""
+"""Requests that a server refuses before dispatch: counted, logged and kept for `explain`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Refusals:
-    """What both doors do with a request that they do not take."""
+    """Records the requests that the HTTP and RPC servers refuse."""
 
     __slots__ = ("_journal", "_metrics")
 
@@ -24,8 +24,16 @@
         self._journal = journal
         self._metrics = metrics
 
-    def record(self, door: str, outcome: NotRun) -> str:
-        """Notes a refusal; returns the id that its caller is told."""
+    def record(self, server: str, outcome: NotRun) -> str:
+        """Records a refusal.
+
+        Args:
+            server: The server that refused the request: `http` or `rpc`.
+            outcome: The refusal.
+
+        Returns:
+            The id of the request, which is reported to the caller.
+        """
         request = uuid.uuid4().hex
         self._metrics.requests.labels("notrun").inc()
         self._metrics.refusals.labels(outcome.reason).inc()
@@ -35,7 +43,7 @@
         log(
             "request_refused",
             request=request,
-            door=door,
+            door=server,
             reason=outcome.reason,
             detail=outcome.detail or "-",
         )
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/requests.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request as the doors hand it to the dispatcher."""
+"""A caller's request, as the HTTP and RPC servers pass it to the dispatcher."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 
 from wigeonarch_core.refs import AdapterVersion
 
+# Sends a piece of the answer's text to the caller.
 SendText = Callable[[str], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class Generate:
-    """Text generation by an adapter version."""
+    """Text generation with one adapter version."""
 
     target: AdapterVersion
     prompt: str
@@ -30,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request.
+    """One request of a caller.
 
     Attributes:
-        id: Unique id, made at receipt.
+        id: Unique id, generated at receipt.
         work: What to run.
-        caller: Who asks, for fair shares.
-        priority: Greater goes first.
+        caller: Name of the caller, for fair sharing.
+        priority: Requests with a greater value go first.
         idempotent: Whether it may run more than once.
         key: Idempotency key; empty for idempotent requests without one.
         received: Monotonic time of receipt, in seconds.
-        deadline: Monotonic time at which its answer is worthless, in seconds.
-        digest: Of what the caller asked for, as it wrote it; two requests with one idempotency key
-            must agree in it.
+        deadline: Monotonic time after which its answer is useless, in seconds.
+        digest: Digest of the request as the caller wrote it; two requests with the same idempotency
+            key must have the same digest.
     """
 
     id: str
@@ -57,5 +58,5 @@
 
     @property
     def service(self) -> str:
-        """Name of the service that is to answer."""
+        """Name of the service that the request is for."""
         return self.work.target.service if isinstance(self.work, Generate) else self.work.service
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/rpccatalogue.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/rpccatalogue.py
@@ -1,4 +1,4 @@
-"""The published service `Catalogue`: reads and changes of the configuration."""
+"""The gRPC service `Catalogue` of the published schema: reads and changes the configuration."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class CatalogueServicer(rpc.CatalogueServicer):
-    """The service `Catalogue`."""
+    """Implements the service `Catalogue`."""
 
-    def __init__(self, parts: Dependencies) -> None:
-        self._deps = parts
+    def __init__(self, deps: Dependencies) -> None:
+        self._deps = deps
 
     async def Mutate(self, request: pb.MutateRequest, context: Context) -> pb.MutateReply:
-        """Appends a change to the log."""
+        """Appends a change to the log and returns its status."""
         mutation = wire.decode_mutation(request.mutation)
         if mutation is None or not request.operation_id:
             await abort_malformed(context, "operation_id and a well-formed mutation are needed")
@@ -31,7 +31,7 @@
         return wire.encode_change_reply(reply)
 
     async def GetChange(self, request: pb.GetChangeRequest, context: Context) -> pb.MutateReply:
-        """Tells where a change stands."""
+        """Returns the status of an earlier change."""
         if request.WhichOneof("key") is None:
             await abort_malformed(context, "operation_id or change is needed")
         reply = await self._deps.configuration.change_status(
@@ -42,7 +42,7 @@
         return wire.encode_change_reply(reply)
 
     async def GetEntry(self, request: pb.GetEntryRequest, context: Context) -> pb.Entry:
-        """Reads one entry."""
+        """Returns one entry."""
         key = wire.decode_key(request.kind, request.name)
         if key is None:
             await abort_malformed(context, "kind and name are needed")
@@ -54,7 +54,7 @@
     async def ListEntries(
         self, request: pb.ListEntriesRequest, context: Context
     ) -> pb.ListEntriesReply:
-        """Lists entries of a kind; the page token is the last name of the page before."""
+        """Lists entries of a kind; the page token is the last name of the previous page."""
         kind = wire.KINDS.get(request.kind)
         if kind is None:
             await abort_malformed(context, "kind is needed")
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/rpccommon.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/rpccommon.py
@@ -1,4 +1,4 @@
-"""What the calls of the RPC door share."""
+"""What the gRPC services share: their dependencies, and ways to end a call with an error."""
 
 from __future__ import annotations
 
@@ -25,7 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Dependencies:
-    """What the RPC door passes calls on to."""
+    """Components of the instance that the gRPC services use.
+
+    Attributes:
+        refusal_reason: Returns why no request may be accepted now; None when one may.
+        drain: Starts the graceful shutdown of the instance.
+    """
 
     opts: Options
     membership: Membership
@@ -40,21 +45,21 @@
 
     @property
     def catalogue(self) -> Catalogue:
-        """The catalogue in force here."""
+        """The catalogue as of the last change applied here."""
         return self.configuration.catalogue
 
     @property
     def fleet(self) -> Fleet:
-        """What is known of the deployment."""
+        """The instances and engines of the deployment, as known here."""
         return self.membership.fleet
 
 
 async def abort(context: Context, code: grpc.StatusCode, message: str) -> NoReturn:
-    """Ends a call with a status other than OK."""
+    """Ends a call with an error status."""
     await context.abort(code, message)
     raise AssertionError("abort raises")
 
 
 async def abort_malformed(context: Context, message: str) -> NoReturn:
-    """Ends a call whose message is malformed; nothing was done."""
+    """Ends a call whose message is malformed, before anything was done."""
     await abort(context, grpc.StatusCode.INVALID_ARGUMENT, message)
--- a/packages/wigeonarch-entry/src/wigeonarch_entry/rpcfleet.py
+++ b/packages/wigeonarch-entry/src/wigeonarch_entry/rpcfleet.py
@@ -1,4 +1,4 @@
-"""The published service `Fleet`: the state of instances and engines, and the graceful shutdown."""
+"""The gRPC service `Fleet` of the published schema: status of the deployment, and draining."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class FleetServicer(rpc.FleetServicer):
-    """The service `Fleet`."""
+    """Implements the service `Fleet`."""
 
-    def __init__(self, parts: Dependencies) -> None:
-        self._deps = parts
+    def __init__(self, deps: Dependencies) -> None:
+        self._deps = deps
 
     async def Status(self, request: pb.StatusRequest, context: Context) -> pb.StatusReply:
-        """Tells the state of the fleet as this instance sees it."""
-        parts = self._deps
-        bound = parts.opts.timing.connect_timeout
-        engines = await engine_statuses(parts.fleet, parts.engines, bound)
+        """Returns the state of all instances and engines as this instance knows it."""
+        deps = self._deps
+        timeout = deps.opts.timing.connect_timeout
+        engines = await engine_statuses(deps.fleet, deps.engines, timeout)
         instances = sorted([self._own_status(), *self._peer_statuses()], key=lambda each: each.name)
         return pb.StatusReply(instances=instances, engines=engines, zones=_zone_configs(instances))
 
     async def Drain(self, request: pb.DrainRequest, context: Context) -> pb.DrainReply:
-        """Begins the graceful shutdown of this instance, or passes the order on."""
-        me = self._deps.opts.instance
-        if request.instance in ("", me):
+        """Starts the graceful shutdown of this instance, or forwards the call to the one named."""
+        own_name = self._deps.opts.instance
+        if request.instance in ("", own_name):
             self._deps.drain()
             remaining = self._deps.dispatcher.in_progress
-            return pb.DrainReply(instance=me, draining=True, remaining=remaining)
+            return pb.DrainReply(instance=own_name, draining=True, remaining=remaining)
         peer = self._deps.fleet.peers.get(request.instance)
         if peer is None:
             await abort(context, grpc.StatusCode.NOT_FOUND, f"no instance {request.instance}")
@@ -47,36 +47,37 @@
 
     def _own_status(self) -> pb.InstanceStatus:
         membership = self._deps.membership
-        held = membership.lease.is_valid(monotonic())
+        is_valid = membership.lease.is_valid(monotonic())
         return pb.InstanceStatus(
             name=self._deps.opts.instance,
             zone=self._deps.opts.zone,
             ready=self._deps.refusal_reason() is None,
             draining=membership.draining,
             applied_change=self._deps.catalogue.applied,
-            lease="held" if held else "lapsed",
+            lease="held" if is_valid else "lapsed",
         )
 
     def _peer_statuses(self) -> list[pb.InstanceStatus]:
         now = monotonic()
-        others = []
+        statuses = []
         for name, peer in self._deps.fleet.peers.items():
             lapsed = peer.lease.has_lapsed(now)
-            beat = peer.heartbeat
-            others.append(
+            heartbeat = peer.heartbeat
+            statuses.append(
                 pb.InstanceStatus(
                     name=name,
                     zone=peer.record.zone,
                     ready=not lapsed and not peer.record.draining,
                     draining=peer.record.draining,
-                    applied_change=max(peer.record.applied, beat.applied if beat else 0),
+                    applied_change=max(peer.record.applied, heartbeat.applied if heartbeat else 0),
                     lease="lapsed" if lapsed else "held",
                 )
             )
-        return others
+        return statuses
 
 
 def _zone_configs(instances: list[pb.InstanceStatus]) -> list[pb.ZoneConfig]:
+    """Returns the lowest and highest change applied in each availability zone."""
     applied: dict[str, list[int]] = {}
     for each in instances:
         applied.setdefault(each.zone, []).append(each.applied_change)
