--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/__init__.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/__init__.py
@@ -1,5 +1,5 @@
-"""Entry instances that pass requests on by routes and place adapters on engines.
+"""Gateway instances that forward requests by routes and place adapters on engines.
 
-Everything outside the process is met through the types of `ports`; which words stand on the wire is
-told by the implementation of those ports that the process was started with.
+The package reaches everything outside the process through the types in `ports`. The implementation
+of those types that the process is started with determines names and formats on the wire.
 """
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/admission.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/admission.py
@@ -1,11 +1,11 @@
-"""Whether a request may be served at all: by its API key, and by what is left of its team's quota.
+"""Admission control: decides by API key and team quota whether a request may be served.
 
-It comes between the request's route and the choice of an endpoint, so a request that is not allowed
-takes no place, load or repeat of others.
+Requests are admitted after they are routed and before an endpoint is chosen, so that a request that
+is not allowed uses up no place, adapter load or retry of others.
 
-A key that is unknown while this instance is behind the store may be a new one: such a request is
-sent elsewhere and not denied. One beyond its team's quota waits only where its turn comes so soon
-that it can still be prompt.
+An API key that is unknown while this instance's configuration is out of date may be a new one. Such
+a request is told to retry, which may take it to another instance, and is not denied. A request
+beyond its team's quota waits only if the quota will cover it soon enough to meet the objective.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from wigeonarch_gateway.quotas import QuotaGrant, QuotaManager, QuotaRefusal
 from wigeonarch_gateway.selection import LogFields
 
-# Share of its objective for which a request waits for its turn.
+# Share of the latency objective for which a request waits until its team's quota covers it.
 QUOTA_WAIT_SHARE: Final = 0.2
-# When to come back after a refusal that another instance would not have given, in seconds.
+# Seconds after which to retry a request that another instance could have admitted.
 RETRY_ELSEWHERE_AFTER: Final = 0.05
 
 KEY_TEXTS: Final = {
@@ -37,28 +37,33 @@
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """The request may be served, for a team or for none, on credit or without."""
+    """The request may be served.
+
+    Attributes:
+        team: Team of the API key; None if the request needs none.
+        quota_grant: Units granted out of the team's quota; None if it has no quota.
+    """
 
     team: Team | None = None
     quota_grant: QuotaGrant | None = None
 
 
 class Denied(msgspec.Struct, frozen=True):
-    """The request is not allowed, and coming back does not help: its key is not known."""
+    """The request is not allowed, and to retry does not help: its key is missing or unknown."""
 
     reason: str
     text: str
 
 
 class Deferred(msgspec.Struct, frozen=True):
-    """The request may come back.
+    """The request is refused for now and may be retried.
 
     Attributes:
-        reason: Why, for logs and metrics.
-        text: Why, for the caller.
-        after: When to come back, in seconds.
+        reason: Reason for logs and metrics.
+        text: Reason for the caller.
+        retry_after: Seconds after which to retry.
         over_quota: Whether its team has used up its quota.
-        inputs: What decided, for the log.
+        log_fields: What the decision was based on, for the log.
     """
 
     reason: str
@@ -72,7 +77,7 @@
 
 
 class Admission:
-    """Lets requests in."""
+    """Admits, denies or defers requests."""
 
     __slots__ = ("_is_behind", "_metrics", "_quotas", "_read_key")
 
@@ -83,11 +88,11 @@
         is_behind: Callable[[], bool],
         metrics: Metrics,
     ) -> None:
-        """Makes the admission.
+        """Creates the admission control.
 
         Args:
-            read_key: Returns the key among a request's headers.
-            quotas: Credit of teams.
+            read_key: Returns the API key in a request's headers; None if there is none.
+            quotas: Grants units of teams' quotas.
             is_behind: Tells whether a newer configuration may have been in force for long.
             metrics: Counters.
         """
@@ -97,12 +102,12 @@
         self._metrics = metrics
 
     async def admit(
-        self, req: CallerRequest, terms: RequestTerms, route: Route, table: RoutingTable
+        self, request: CallerRequest, terms: RequestTerms, route: Route, table: RoutingTable
     ) -> Decision:
-        """Decides on a request; takes its credit when it may be served."""
+        """Decides on a request; takes the units that it costs out of its team's quota."""
         if table.teams is None:
             return Admitted()
-        team = team_of(table.teams, self._read_key(req.raw_headers), route.public)
+        team = team_of(table.teams, self._read_key(request.raw_headers), route.public)
         if isinstance(team, KeyProblem):
             return self._reject_key(team)
         if team is None or team.quota is None:
@@ -110,7 +115,7 @@
         return await self._admit_within_quota(team, team.quota, terms, route)
 
     def refund(self, admitted: Admitted) -> None:
-        """Gives back the credit of a request that has not run and will not."""
+        """Gives back the quota units of a request that has not run and will not."""
         if admitted.quota_grant is not None:
             self._quotas.refund(admitted.quota_grant)
 
@@ -123,28 +128,28 @@
         self, team: Team, quota: Quota, terms: RequestTerms, route: Route
     ) -> Admitted | Deferred:
         cost = quota.cost(terms.tokens)
-        taken = await self._quotas.acquire(team, quota, cost)
+        result = await self._quotas.acquire(team, quota, cost)
         if (
-            isinstance(taken, QuotaRefusal)
-            and taken.verdict.queue_wait < QUOTA_WAIT_SHARE * route.objective
+            isinstance(result, QuotaRefusal)
+            and result.verdict.queue_wait < QUOTA_WAIT_SHARE * route.objective
         ):
-            await asyncio.sleep(taken.verdict.queue_wait)
-            taken = await self._quotas.acquire(team, quota, cost)
-        if isinstance(taken, QuotaGrant):
+            await asyncio.sleep(result.verdict.queue_wait)
+            result = await self._quotas.acquire(team, quota, cost)
+        if isinstance(result, QuotaGrant):
             self._metrics.count_admitted(team.name, cost)
-            return Admitted(team, taken)
+            return Admitted(team, result)
         self._metrics.count_over_quota(team.name, cost)
-        inputs: LogFields = {"team": team.name, "cost": cost}
-        if taken is None:
+        log_fields: LogFields = {"team": team.name, "cost": cost}
+        if result is None:
             return Deferred(
-                "quota_unsure", texts.QUOTA_UNSURE, RETRY_ELSEWHERE_AFTER, False, inputs
+                "quota_unsure", texts.QUOTA_UNSURE, RETRY_ELSEWHERE_AFTER, False, log_fields
             )
-        inputs |= {
-            "left": taken.verdict.remaining,
+        log_fields |= {
+            "left": result.verdict.remaining,
             "rate": quota.rate,
             "burst": quota.burst,
-            "banker": taken.coordinator,
-            "asked": taken.asked,
+            "banker": result.coordinator,
+            "asked": result.asked,
         }
-        after = taken.verdict.queue_wait
-        return Deferred("over_quota", texts.OVER_QUOTA, after, True, inputs)
+        after = result.verdict.queue_wait
+        return Deferred("over_quota", texts.OVER_QUOTA, after, True, log_fields)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/calls.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/calls.py
@@ -1,4 +1,4 @@
-"""Short calls to an endpoint itself: orders and reports."""
+"""Control calls to an endpoint: orders and requests for its report."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 
 
 class CallResult(msgspec.Struct, frozen=True):
-    """The answer to a call; `sent` is False when it can't have reached the endpoint.
+    """The result of a call.
 
     Attributes:
-        status: Status of the answer; 0 when there was none.
-        body: Its body.
-        sent: Whether a byte of the call was sent.
-        notice: What the endpoint says of itself; None when it can't be told.
+        status: Status code of the response; 0 if there was none.
+        body: Body of the response.
+        sent: Whether a byte of the call was sent; if not, it can't have reached the endpoint.
+        notice: What the endpoint's response headers say of the endpoint itself; None if they can't
+            be read or there was no response.
     """
 
     status: int
@@ -38,17 +39,18 @@
     timeout: float,
     may_send: Callable[[], bool] = lambda: True,
 ) -> CallResult:
-    """Calls an endpoint, naming the one that is meant.
+    """Calls an endpoint; a header names it, so that another process at its address can refuse.
 
     Args:
-        pools: Connections.
-        dialect: How things are spelled.
+        pools: Connections to endpoints.
+        dialect: The platform's names of headers and paths.
         endpoint: The endpoint.
-        method: Method of the call.
-        path: Its path.
-        body: Its body, in JSON; may be empty.
-        timeout: Longest time for the answer, in seconds.
-        may_send: Asked when the connection stands, just before the first byte is written.
+        method: HTTP method.
+        path: HTTP path.
+        body: Request body, in JSON; may be empty.
+        timeout: Time limit for the response, in seconds.
+        may_send: Called once the connection is open, just before the first byte is written; if it
+            returns False, nothing is sent.
     """
     conn = await pools.acquire(endpoint)
     if conn is None:
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/catalogue.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/catalogue.py
@@ -1,7 +1,7 @@
-"""The configuration in force and the newest versions of adapters.
+"""Keeps the configuration in force and the newest version of each adapter.
 
-Versions only grow: an older configuration or version that is read late, from a copy that lags, is
-ignored. What cannot be read leaves the last good one in force and is logged.
+Versions only grow: an older configuration or version that is read late, from a replica that lags,
+is ignored. One that can't be decoded is logged and leaves the last valid one in force.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class Catalogue:
-    """What operators have written.
+    """The configuration and adapter versions that operators have published.
 
     Attributes:
-        table: The routes in force; None before the first.
+        table: The routing table in force; None before the first.
     """
 
     __slots__ = ("_decode_table", "_decode_version", "_versions", "table")
@@ -36,33 +36,33 @@
         self.table: RoutingTable | None = None
 
     def version(self, model: str, adapter: str) -> int:
-        """Returns the newest version of an adapter; 0 when none was ever named."""
+        """Returns the newest version of an adapter; 0 if none was ever published."""
         return self._versions.get((model, adapter), 0)
 
     def is_outdated(self, key: AdapterKey) -> bool:
-        """Tells whether a newer version of an adapter was named."""
+        """Tells whether a newer version of an adapter is published."""
         return 0 < key.version < self.version(key.model, key.adapter)
 
     def take_configuration_list(self, objects: tuple[StoredObject, ...]) -> None:
-        """Takes over the configuration in a list."""
+        """Applies the configurations of a list."""
         for found in objects:
             self._take_table(found)
 
     def apply_configuration_change(self, change: Change) -> bool:
-        """Takes over a changed configuration; returns whether followers need the change."""
+        """Applies a changed configuration; returns whether followers need the change."""
         return change.deleted or self._take_table(change.stored)
 
     def take_version_list(self, objects: tuple[StoredObject, ...]) -> None:
-        """Takes over all versions."""
+        """Applies the adapter versions of a list."""
         for found in objects:
             self._take_version(found)
 
     def apply_version_change(self, change: Change) -> bool:
-        """Takes over a new version; returns whether followers need the change."""
+        """Applies a changed adapter version; returns whether followers need the change."""
         return change.deleted or self._take_version(change.stored)
 
     def _take_table(self, found: StoredObject) -> bool:
-        """Takes a configuration over; returns whether it is news."""
+        """Applies a configuration; returns whether it is new."""
         try:
             table = self._decode_table(found)
         except ValueError as exc:
@@ -81,7 +81,7 @@
         return True
 
     def _take_version(self, found: StoredObject) -> bool:
-        """Takes a version over; returns whether it is news."""
+        """Applies an adapter version; returns whether it is new."""
         try:
             key = self._decode_version(found)
         except ValueError as exc:
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/connections.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/connections.py
@@ -1,11 +1,14 @@
-"""Connections to endpoints: one request at a time, each answer matched to its request.
-
-The parser is a library's; what is done with its events is decided here, because three things must
-be known for certain that a general client hides. Whether a byte of a request can have reached the
-endpoint: only then may it have run. Whether an answer without a length was ended or reset. And
-whose an answer is: an endpoint may send one more than it was asked for, late, just before the next
-one; it is recognised by the request's id and skipped. Bytes that come while no request waits spoil
-the connection.
+"""HTTP connections to endpoints: one request at a time, each response matched to its request.
+
+The `httptools` library parses responses, but a general HTTP client is not used, because clients
+hide three things that must be known for certain:
+
+- Whether a byte of a request can have reached the endpoint. Only then may the request have run.
+- Whether a response without a length was complete, or the connection was reset in the middle.
+- To which request a response belongs. An endpoint may send a late, additional response just before
+  that of the next request. Such a response is recognised by its request id and skipped.
+
+A connection on which bytes arrive while no request waits for a response is not used any more.
 """
 
 from __future__ import annotations
@@ -22,22 +25,28 @@
 
 from wigeonarch_gateway.ports import ResponseHead
 
-# Unread bytes of an answer at which the endpoint is made to wait, in bytes.
+# Unread bytes of a response above which reading is paused, so that the endpoint has to wait.
 READ_AHEAD_BYTES: Final = 262_144
-# Bytes sent and not acknowledged for so long mean that the way is gone, in milliseconds.
+# Milliseconds after which sent bytes without a TCP acknowledgement mean that the endpoint can't be
+# reached.
 UNACKNOWLEDGED_MS: Final = 1_500
 NO_BODY_STATUSES: Final = frozenset({204, 304})
 
 
-class ConnectionLost(
-    Exception
-):
-    """The connection ended, or what came is no answer."""
+class ConnectionLost(Exception):  # noqa: N818 - the state of a connection, not a program error.
+    """The connection closed before the response was complete, or the response is malformed."""
 
 
 @dataclass(slots=True)
 class _ResponseState:
-    """The answer that is being read."""
+    """The response that is being parsed.
+
+    Attributes:
+        status: Its status code.
+        headers: Its headers so far; None before its first byte.
+        framed: Whether it has a length or is chunked, so that its end can be recognised.
+        foreign: Whether it belongs to another request, and is skipped.
+    """
 
     status: int = 0
     headers: list[tuple[bytes, bytes]] | None = None
@@ -49,9 +58,10 @@
     """A connection to an endpoint.
 
     Attributes:
-        idle_since: Time at which the last answer was read, in seconds of the event loop.
-        keep: Seconds for which the endpoint keeps the idle connection; None if it did not say.
-        fresh: Whether no request was sent on it yet.
+        idle_since: Time at which the last response was read, in seconds of the event loop's clock.
+        keep_alive_timeout: Seconds for which the endpoint keeps an idle connection; None if it did
+            not say.
+        unused: Whether no request was sent on it yet.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -73,10 +83,10 @@
         self.keep_alive_timeout: float | None = None
         self.unused = True
 
-    # What the event loop calls.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sets the bounds of a connection whose way is gone."""
+        """Sets the socket options, among them the timeout for unacknowledged bytes."""
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
@@ -85,9 +95,9 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came, or gives the connection up if nothing was asked for."""
+        """Parses received bytes; closes the connection if no request waits for a response."""
         if self._head_future is None:
-            self._invalidate("bytes without a request")
+            self._invalidate("bytes received without a request")
             return
         try:
             self._parser.feed_data(data)
@@ -95,31 +105,31 @@
             if self._complete:
                 self._not_reusable = True
             else:
-                self._fail(f"not an answer: {type(exc).__name__}")
+                self._fail(f"malformed response: {type(exc).__name__}")
         if self._buffered > READ_AHEAD_BYTES and not self._paused and self._transport is not None:
             self._paused = True
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Ends an answer that has no length."""
+        """Completes a response that has no length."""
         self._connection_ended(None)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends what is being read."""
+        """Ends the response that is being read."""
         self._connection_ended(exc)
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begins an answer; one after the awaited one spoils the connection."""
+        """Begins a response; after an additional one, the connection is not reused."""
         if self._complete:
             self._not_reusable = True
             return
         self._response = _ResponseState(headers=[])
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Notes a header."""
+        """Records a header."""
         if self._complete or self._response.headers is None:
             return
         name = name.lower()
@@ -128,7 +138,7 @@
             self._response.framed = True
 
     def on_headers_complete(self) -> None:
-        """Tells the waiting request of its answer, unless the answer is another request's."""
+        """Hands the response's head to the waiting request, unless it belongs to another one."""
         if self._complete or self._response.headers is None:
             return
         self._response.status = self._parser.get_status_code()
@@ -145,7 +155,7 @@
             self._complete = self._not_reusable = True
 
     def on_body(self, data: bytes) -> None:
-        """Keeps a part of the body."""
+        """Buffers a part of the body."""
         if self._complete or self._response.foreign:
             return
         self._chunks.append(data)
@@ -153,36 +163,39 @@
         self._wake_reader()
 
     def on_message_complete(self) -> None:
-        """Ends an answer; an informational or foreign one is followed by the awaited one."""
+        """Ends a response; the awaited one follows an informational or foreign one."""
         if self._complete or self._response.foreign or self._response.status < 200:
             self._response = _ResponseState()
             return
         if not self._response.framed and self._response.status not in NO_BODY_STATUSES:
-            return  # Ends with the connection: `eof_received` tells whether it was complete.
+            return  # Its end is that of the connection; see `eof_received`.
         self._complete = True
         if not self._parser.should_keep_alive():
             self._not_reusable = True
         self._wake_reader()
 
-    # What the requests call.
+    # Used by callers of this class.
 
     @property
     def usable(self) -> bool:
-        """Tells whether another request may be sent."""
+        """Tells whether another request may be sent on the connection."""
         return self._lost_reason is None and not self._not_reusable and self._head_future is None
 
     def send_request(
-        self, request: bytes, foreign: Callable[[ResponseHead], bool] | None, no_body: bool = False
+        self,
+        request: bytes,
+        is_foreign: Callable[[ResponseHead], bool] | None,
+        no_body: bool = False,
     ) -> None:
-        """Sends a request; from here on it may have run.
+        """Sends a request, which may have run from now on.
 
         Args:
-            request: Its head and body.
-            foreign: Tells whether an answer belongs to another request.
-            no_body: Whether the answer has no body whatever its headers say.
+            request: Head and body of the request.
+            is_foreign: Tells whether a response belongs to another request; None to accept any.
+            no_body: Whether the response has no body whatever its headers say.
         """
         self._head_future = self._loop.create_future()
-        self._is_foreign = foreign
+        self._is_foreign = is_foreign
         self._no_body = no_body
         self._complete = False
         self.unused = False
@@ -190,15 +203,23 @@
             self._transport.write(request)
 
     async def read_head(self) -> ResponseHead:
-        """Returns the head of the answer; raises Lost."""
+        """Waits for the head of the response and returns it.
+
+        Raises:
+            ConnectionLost: The connection closed before, or the response is malformed.
+        """
         if self._head_future is None:
-            raise ConnectionLost("no request")
+            raise ConnectionLost("no request was sent")
         if self._lost_reason is not None and not self._head_future.done():
             raise ConnectionLost(self._lost_reason)
         return await self._head_future
 
     async def read(self) -> bytes:
-        """Returns the next part of the body, empty at its end; raises Lost."""
+        """Waits for the next part of the body and returns it; empty at the body's end.
+
+        Raises:
+            ConnectionLost: The connection closed before the body was complete.
+        """
         while not self._chunks:
             if self._complete:
                 return b""
@@ -215,17 +236,17 @@
         return data
 
     def finish(self) -> bool:
-        """Ends the request; returns whether the connection may take another one."""
+        """Ends the request; returns whether the connection can be used for another one."""
         sent = self._transport is not None and not self._transport.get_write_buffer_size()
-        again = self._complete and sent and not self._not_reusable and self._lost_reason is None
+        reusable = self._complete and sent and not self._not_reusable and self._lost_reason is None
         self._head_future = None
         self._is_foreign = None
         self._chunks.clear()
         self._buffered = 0
         self.idle_since = self._loop.time()
-        if not again:
+        if not reusable:
             self.close()
-        return again
+        return reusable
 
     def close(self) -> None:
         """Closes the connection, so that the endpoint stops working on its request."""
@@ -254,7 +275,8 @@
             self._lost_reason = reason
         if self._head_future is not None and not self._head_future.done():
             self._head_future.set_exception(ConnectionLost(reason))
-            self._head_future.exception()  # Marks it as seen: the waiter may have been cancelled.
+            # Marks the exception as retrieved: the task that waited may have been cancelled.
+            self._head_future.exception()
         self._wake_reader()
         if self._transport is not None and not self._transport.is_closing():
             self._transport.abort()
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/directory.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/directory.py
@@ -1,7 +1,8 @@
-"""The instances of the deployment by their leases in the store.
+"""Lists the instances of the deployment by their leases in the store.
 
-Leases of instances that are gone stay in the store. So one counts as a sign of life only when it is
-seen to change, and for a time; what counts as present here is bounded by who renews.
+The leases of instances that are gone stay in the store. A lease is therefore a sign of life only
+when it is seen to change, and only for a limited time; instances that no longer renew theirs drop
+out.
 """
 
 from __future__ import annotations
@@ -17,31 +18,31 @@
 from wigeonarch_gateway.peer_socket import is_address
 from wigeonarch_gateway.ports import StoredObject
 
-LIST_INTERVAL: Final = 5.0  # Seconds between looks at the leases.
-# Seconds without a sign of life (heartbeat, renewed lease) after which an instance is not waited
-# for: two looks at the leases and a term.
+LIST_INTERVAL: Final = 5.0  # Seconds between lists of the leases by a delegate.
+# Seconds without a sign of life (heartbeat, renewed lease) after which an instance counts as gone:
+# two lists of the leases and a lease term.
 GONE_AFTER: Final = 8.0
-# Instances of a zone up to which each speaks, watches and orders for itself: what keepers spare
-# grows with the zone, and is little there.
+# Greatest number of instances in a zone that needs no delegates: each one then sends heartbeats,
+# watches the store and owns engines by itself. Delegates would save little in such a zone.
 LARGE_ZONE: Final = 6
-IDLE_LIST_INTERVAL: Final = 15.0  # The same by an instance that is no keeper.
-# Seconds since an instance's lease was seen to change in which it may hand messages on: those that
-# rest renew each 25 s, and the leases are read each 15 s.
+IDLE_LIST_INTERVAL: Final = 15.0  # The same by an instance that is no delegate.
+# Seconds since its lease was seen to change within which an instance may relay messages. Idle
+# instances renew every 25 s, and the leases are listed every 15 s.
 RELAY_RENEWED_WITHIN: Final = 45.0
-PRESENT_WITHIN: Final = 60.0  # The same until an instance counts no more.
+PRESENT_WITHIN: Final = 60.0  # Seconds within which an instance counts as present.
 
 
 @dataclass(slots=True)
 class Entry:
-    """An instance by its lease.
+    """An instance according to its lease.
 
     Attributes:
         revision: Revision of the lease.
-        count: Its count of renewals.
+        count: Number of renewals stored in it.
         address: Address for messages.
         zone: Availability zone.
-        sign: Time at which the lease was last seen to change, in seconds.
-        ended_under: As in the lease.
+        last_renewal: Time at which the lease was last seen to change, in seconds.
+        ended_under: Requests that crashed several endpoints, as in `LeaseContent`.
     """
 
     revision: int
@@ -53,23 +54,23 @@
 
 
 class Directory:
-    """What the leases say.
+    """The instances that have a lease.
 
     Attributes:
-        entries: Instances by name, gone ones included.
+        entries: Instances by name, including those that are gone.
     """
 
     __slots__ = ("_sizes", "entries")
 
     def __init__(self) -> None:
-        """Knows nobody."""
+        """Creates an empty directory."""
         self.entries: dict[str, Entry] = {}
         self._sizes: Counter[str] = Counter()
 
     def take_leases(self, leases: Iterable[StoredObject], now: float) -> list[Entry]:
         """Takes over all leases; returns the entries that are new or changed."""
-        # Of a lease found at the first look it is not known how old it is: it must change soon.
-        sign = now if self.entries else now - GONE_AFTER + LIST_INTERVAL
+        # The age of a lease in the first list is unknown, so it must change soon to count.
+        last_renewal = now if self.entries else now - GONE_AFTER + LIST_INTERVAL
         before, self.entries = self.entries, {}
         changed = []
         for lease in leases:
@@ -83,7 +84,7 @@
                     content.count,
                     content.address,
                     content.zone,
-                    sign,
+                    last_renewal,
                     content.ended_under,
                 )
                 changed.append(entry)
@@ -93,7 +94,7 @@
         return changed
 
     def extend_presence(self, now: float) -> None:
-        """Counts all as alive that were when the store was last read."""
+        """Extends the presence of live instances, because the store could not be read."""
         for entry in self.entries.values():
             if now - entry.last_renewal < GONE_AFTER:
                 entry.last_renewal = now
@@ -107,18 +108,19 @@
         ]
 
     def is_large(self, zone: str) -> bool:
-        """Tells whether only a few instances of a zone speak for it."""
+        """Tells whether a zone is large enough to be represented by delegates."""
         return self._sizes[zone] > LARGE_ZONE
 
     def relay_addresses(
         self, own_zone: str, leaving: Collection[str], now: float
     ) -> dict[str, list[str]]:
-        """Returns the addresses that hand messages on in each other zone that is large.
+        """Returns the addresses of instances that can relay messages in each other large zone.
 
-        What goes between zones then does not grow with the number of instances there. Any instance
-        of the zone may be drawn, so that its link carries its part only: two that handed on all of
-        70 engines' news filled links of 5 Mbit/s, and were heard seconds late. One that is gone
-        loses its share of the messages, until its lease is seen not to change.
+        With relays, the traffic between zones does not grow with the number of instances there. The
+        sender picks any of the zone's instances at random, so that each link carries only its
+        share: when two instances relayed the updates of all 70 engines, they filled links of
+        5 Mbit/s, and messages from them arrived seconds late. Messages to a relay that is gone are
+        lost until its lease is seen not to change.
         """
         found: dict[str, list[str]] = {}
         for name, entry in self.entries.items():
@@ -129,9 +131,11 @@
 
 
 def _is_renewed(entry: Entry, revision: int, content: LeaseContent) -> bool:
-    """Tells whether a lease was written since; a store that came back older has it anew as it was.
+    """Tells whether a lease was written since an entry was made from it.
 
-    A process that started anew counts from the beginning, under its new address or at it.
+    A store that came back from an older copy shows an old lease under a new revision, so across
+    eras the renewal count and the address decide. A process that restarted counts from zero,
+    at a new address or the same one.
     """
     if era_of(entry.revision) == era_of(revision):
         return entry.revision != revision
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/discovery.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/discovery.py
@@ -1,8 +1,9 @@
-"""The addresses of the other instances: from seeds, from leases in the store, from what others say.
+"""Finds the addresses of the other instances.
 
-An instance that starts asks a seed, which tells of its zone at once; leases tell the same some
-seconds later, also where no seed lives. An instance that joins while the store is away is known by
-its heartbeats. An address of which nothing was heard for long is forgotten.
+An instance that starts asks a seed, which replies at once with the addresses of the zone. Leases in
+the store show the same some seconds later, even if no seed is alive. An instance that joins while
+the store is away becomes known by its heartbeats. An address is forgotten after
+`ADDRESS_TIMEOUT` without a heartbeat or a changed lease.
 """
 
 from __future__ import annotations
@@ -28,26 +29,25 @@
 from wigeonarch_gateway.peer_socket import PeerSocket, is_address
 from wigeonarch_gateway.ports import Listing, ObjectKind, ObjectStore, StoredObject
 
-FIRST_LIST_TIMEOUT: Final = 0.5  # Seconds for which the first look at the leases is waited for.
-FREQUENT_LISTS_TIME: Final = (
-    2.0  # Seconds after the start in which leases are read five times as often.
-)
-# Seconds after its start in which an instance hears from a seed, if one lives.
+FIRST_LIST_TIMEOUT: Final = 0.5  # Seconds to wait for the first list of the leases.
+# Seconds after the start within which the leases are listed five times as often.
+FREQUENT_LISTS_TIME: Final = 2.0
+# Seconds after its start in which an instance gets a seed's reply, if one is alive.
 SEED_REPLY_TIME: Final = 0.4
-# Seconds after its own start in which an instance finds those that started with it.
+# Seconds after its start in which an instance finds those that started together with it.
 COMMON_START_TIME: Final = 2.5
-# Seconds without a heartbeat or a changed lease until an address is given up: those of other large
-# zones are known by their leases only.
+# Seconds without a heartbeat or a changed lease after which an address is forgotten. It equals
+# `PRESENT_WITHIN`, because instances of other large zones are known only by their leases.
 ADDRESS_TIMEOUT: Final = PRESENT_WITHIN
 
 
 class Discovery:
-    """Where the other instances are.
+    """The addresses and availability zones of the other instances.
 
     Attributes:
-        directory: What the leases in the store say.
+        directory: The instances according to their leases in the store.
         on_entry: Called with each lease that is new or changed.
-        started: Time at which this instance began to look.
+        started: Time at which this instance started to look for others.
     """
 
     __slots__ = (
@@ -64,12 +64,12 @@
     )
 
     def __init__(self, opts: Options, socket: PeerSocket) -> None:
-        """Knows the seeds only."""
+        """Creates the discovery; only the seeds are known."""
         self._opts = opts
         self._socket = socket
         self._address = f"{opts.ip}:{opts.peer_port}"
-        self._last_heard: dict[str, float] = {}  # Addresses, and when something was heard of each.
-        self._zones: dict[str, str] = {}  # Availability zones of addresses.
+        self._last_heard: dict[str, float] = {}  # Last sign of life by address.
+        self._zones: dict[str, str] = {}  # Availability zone by address.
         self._first_list_done = asyncio.Event()
         self._seeds: list[str] = []
         self.directory = Directory()
@@ -78,7 +78,10 @@
         self.set_seeds(opts.seeds)
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """Takes the hosts of some instances; all use the same port for messages."""
+        """Sets the seeds from addresses of some instances.
+
+        Only the hosts are used, because all instances use the same port for messages.
+        """
         hosts = [seed.rpartition(":")[0] for seed in seeds]
         addresses = [f"{host}:{self._opts.peer_port}" for host in hosts]
         self._seeds = [address for address in addresses if address != self._address]
@@ -86,7 +89,7 @@
             self.note_address(address)
 
     def note_address(self, address: str, zone: str = "") -> None:
-        """Notes that something was heard of an instance at an address."""
+        """Notes a sign of life of the instance at an address."""
         if address == self._address:
             return
         if zone:
@@ -96,7 +99,7 @@
         self._last_heard[address] = monotonic()
 
     def forget_silent(self) -> None:
-        """Gives up addresses of which nothing was heard for long."""
+        """Forgets addresses without a sign of life for `ADDRESS_TIMEOUT`."""
         now = monotonic()
         for address, at in list(self._last_heard.items()):
             if now - at >= ADDRESS_TIMEOUT:
@@ -105,22 +108,22 @@
                 self._socket.disconnect(address)
 
     def addresses(self) -> list[str]:
-        """Returns all addresses known."""
+        """Returns all known addresses."""
         return list(self._last_heard)
 
     def zone(self, address: str) -> str | None:
-        """Returns the availability zone of an address, if it is known."""
+        """Returns the availability zone of an address; None if it is unknown."""
         return self._zones.get(address)
 
     def own_zone_address_count(self) -> int:
-        """Returns how many addresses may be of the own zone."""
+        """Returns how many addresses may belong to this zone; those of unknown zones count."""
         own = self._opts.zone
         return sum(self._zones.get(address, own) == own for address in self._last_heard)
 
     def is_zone_small(self) -> bool:
-        """Tells whether the own zone seems small, so that each instance watches for itself.
+        """Tells whether this zone is so small that each instance watches the store itself.
 
-        Seeds and leases tell of the others; until they had the time to, nobody seems alone.
+        Returns False until seeds had the time to name the other instances.
         """
         known = sum(zone == self._opts.zone for zone in self._zones.values())
         if known >= LARGE_ZONE or self.directory.is_large(self._opts.zone):
@@ -130,13 +133,13 @@
     # Seeds.
 
     def query_seed(self) -> None:
-        """Asks who is there, while this instance is young."""
+        """Asks a random seed for addresses while this instance is starting."""
         if self._seeds and monotonic() - self.started < COMMON_START_TIME:
-            question = PeerQuery(self._opts.instance, self._address, self._opts.zone)
-            self._socket.send(random.choice(self._seeds), question)
+            query = PeerQuery(self._opts.instance, self._address, self._opts.zone)
+            self._socket.send(random.choice(self._seeds), query)
 
     def answer_query(self, query: PeerQuery) -> None:
-        """Tells an instance that just started who else is in its zone."""
+        """Sends an instance that just started the addresses of the others in its zone."""
         if not is_address(query.address):
             return
         self.note_address(query.address, query.zone)
@@ -147,7 +150,7 @@
         self._socket.send(query.address, PeerAddresses(query.zone, others))
 
     def take_addresses(self, reply: PeerAddresses) -> None:
-        """Takes over the addresses of instances, of which the heartbeats will tell the rest."""
+        """Notes the addresses in a seed's reply; heartbeats will bring the rest."""
         for address in reply.addresses:
             if is_address(address):
                 self.note_address(address, reply.zone)
@@ -155,15 +158,15 @@
     # Leases.
 
     async def poll_leases(self, store: ObjectStore, is_delegate: Callable[[], bool]) -> None:
-        """Looks for instances in the store; runs until cancelled.
+        """Lists the leases in the store periodically; runs until cancelled.
 
-        Keepers look often, as they must know who could take over from them; the others only where
-        else to send what concerns all.
+        Delegates do so often, because they must know which instances could take over from them.
+        The others only need to know where to send messages for all instances.
         """
-        looked = float("-inf")
+        last_list = float("-inf")
         while True:
-            if is_delegate() or monotonic() - looked >= IDLE_LIST_INTERVAL:
-                looked = monotonic()
+            if is_delegate() or monotonic() - last_list >= IDLE_LIST_INTERVAL:
+                last_list = monotonic()
                 await self._list_leases(store)
             young = monotonic() - self.started < FREQUENT_LISTS_TIME
             await asyncio.sleep(LIST_INTERVAL / 5 if young else LIST_INTERVAL)
@@ -177,13 +180,13 @@
             self.directory.extend_presence(monotonic())
 
     def take_leases(self, leases: Iterable[StoredObject]) -> None:
-        """Takes over all leases."""
+        """Takes over all leases of a list."""
         for entry in self.directory.take_leases(leases, monotonic()):
             self.note_address(entry.address, entry.zone)
             self.on_entry(entry)
 
     async def own_lease_revision(self) -> int:
-        """Returns the revision of this instance's lease by the first look; 0 when it has none."""
+        """Returns the revision of this instance's lease in the first list; 0 if it has none."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self._first_list_done.wait()
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/dispatch_outcomes.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/dispatch_outcomes.py
@@ -1,7 +1,8 @@
-"""What tries show of endpoints and of requests.
+"""Records the outcomes of dispatches, and answers what follows from them.
 
-Of an endpoint, how far it can be trusted and how fast it is; of a request, whether endpoints end
-under it.
+Outcomes show of an endpoint how healthy and how fast it is, whether it limits its rate or asked for
+a cooldown; and of a request, whether endpoints crash while they run it. Each of these is kept by a
+module of its own, and this one passes every outcome on to those that it concerns.
 """
 
 from __future__ import annotations
@@ -19,69 +20,77 @@
 
 
 class DispatchOutcomes:
-    """Takes down what tries show."""
+    """The outcomes of this instance's dispatches."""
 
     __slots__ = ("_cooldowns", "_health", "_latency", "_limits", "_notices", "_suspects")
 
     def __init__(
         self,
-        doubts: EndpointHealth,
-        paces: EngineLatency,
+        health: EndpointHealth,
+        latency: EngineLatency,
         suspects: SuspectRequests,
         limits: EndpointLimits,
-        rests: Cooldowns,
+        cooldowns: Cooldowns,
         notices: Notices,
     ) -> None:
-        self._health = doubts
-        self._latency = paces
+        self._health = health
+        self._latency = latency
         self._suspects = suspects
         self._limits = limits
-        self._cooldowns = rests
+        self._cooldowns = cooldowns
         self._notices = notices
 
     def quarantine_left(self, job: Job) -> float:
-        """Returns the seconds for which a request is sent nowhere; 0 when it may be sent."""
+        """Returns the seconds for which a request stays quarantined; 0 if it may be sent."""
         return self._suspects.quarantine_left(job.content_key)
 
-    # What may be chosen.
+    # Questions of endpoint selection.
 
     def is_paused(self, record: EndpointRecord, now: float) -> bool:
-        """Tells whether nothing should be sent to an endpoint now, as nothing gets through."""
+        """Tells whether nothing should be sent to an endpoint now, as it could not be reached."""
         return self._health.is_paused(record.endpoint, now)
 
     def any_limited(self, now: float) -> bool:
-        """Tells whether any endpoint takes fewer requests than it could be sent."""
+        """Tells whether any endpoint has a rate limit or a cooldown."""
         return self._limits.any_limited or self._cooldowns.any_active(now)
 
     def limit_wait(self, record: EndpointRecord, now: float) -> float:
-        """Returns the seconds until an endpoint takes another request, by what it said."""
+        """Returns the seconds until an endpoint's cooldown or rate limit allows another request."""
         return self._cooldowns.remaining(record.endpoint, now) or self._limits.permit_wait(
             record.endpoint, now
         )
 
     def take_permit(self, record: EndpointRecord) -> bool:
-        """Tells whether a request may be sent that is about to be, and uses its permit."""
+        """Tells whether a request that is about to be sent may be, and uses up its permit."""
         now = monotonic()
         if self._cooldowns.remaining(record.endpoint, now):
             return False
         return self._limits.take_permit(record.endpoint, now)
 
     def failure_share(self, record: EndpointRecord) -> float:
-        """Returns the recent share of an endpoint's answers that were failures."""
+        """Returns the recent share of an endpoint's responses that were failures."""
         return self._health.failure_share(record.endpoint)
 
     def slowness(self, record: EndpointRecord, now: float) -> float:
-        """Returns how many times as long as usual an engine takes."""
+        """Returns how many times as long as usual an engine takes to the first token."""
         return self._latency.slowness(record.endpoint, now)
 
-    # What tries show.
+    # Events of dispatches.
 
     def record_unreachable(self, record: EndpointRecord) -> None:
-        """Notes that there was no way to an endpoint."""
+        """Records that no connection to an endpoint could be opened."""
         self._health.record_unreachable(record.endpoint, monotonic())
 
     def record_send(self, record: EndpointRecord, expected: float | None) -> Wait | None:
-        """Notes a send; of an engine, in how many seconds its first token is expected."""
+        """Records that a request is sent.
+
+        Args:
+            record: The endpoint.
+            expected: Seconds until an engine's first token is expected; None for other endpoints.
+
+        Returns:
+            The wait for the first token, to be handed in when the token comes or the dispatch ends.
+        """
         now = monotonic()
         self._health.record_send(record.endpoint, now)
         return (
@@ -89,44 +98,44 @@
         )
 
     def record_notice(self, job: Job, record: EndpointRecord, notice: Notice) -> None:
-        """Notes what an endpoint says of itself in the head of an answer."""
+        """Records what the head of a response says of the endpoint itself."""
         self._notices.note_response(record, notice, job.dispatched_at)
 
     def record_first_token(self, record: EndpointRecord, wait: Wait | None) -> None:
-        """Notes the first token of a stream."""
+        """Records the first token of a stream."""
         if wait is not None:
             self._latency.record_first_token(wait, monotonic())
         self._health.record_answer(record.endpoint, failed=False)
 
     def record_refusal(self, record: EndpointRecord) -> None:
-        """Notes that an endpoint did not run a request."""
+        """Records that an endpoint refused a request without running it."""
         self._health.end_probe(record.endpoint)
 
     def record_response(self, job: Job, record: EndpointRecord, failed: bool) -> None:
-        """Notes a whole answer that is no stream."""
+        """Records a complete response that is not a stream."""
         self._health.record_answer(record.endpoint, failed)
         self._suspects.record_answered(job.content_key)
 
     def record_stream_end(self, job: Job) -> None:
-        """Notes the end of a whole stream."""
+        """Records that a stream came to its end."""
         self._suspects.record_answered(job.content_key)
 
     def record_connection_lost(self, job: Job, record: EndpointRecord) -> None:
-        """Notes that the connection of a run was lost."""
+        """Records that the connection was lost before the response was complete."""
         self._health.record_unreachable(record.endpoint, monotonic())
         self._suspects.record_connection_lost(job.content_key, record, job.dispatched_at)
 
     def record_silence(self, job: Job, record: EndpointRecord) -> None:
-        """Notes that a run was given up, as no answer came in the time for one try."""
+        """Records that a dispatch was given up because no response came within its timeout."""
         self._health.record_unreachable(record.endpoint, monotonic())
         self._suspects.record_abandoned(job.content_key, record, job.dispatched_at)
 
     def record_abandoned(self, job: Job, record: EndpointRecord) -> None:
-        """Notes that a run was given up, as its caller left or its time was over."""
+        """Records a dispatch that was given up: its caller disconnected or its deadline passed."""
         self._health.end_probe(record.endpoint)
         self._suspects.record_abandoned(job.content_key, record, job.dispatched_at)
 
     def record_end(self, wait: Wait | None) -> None:
-        """Notes that a try is over, however it ended."""
+        """Records that a dispatch is over, however it ended."""
         if wait is not None:
             self._latency.stop_waiting(wait)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/engine_controller.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/engine_controller.py
@@ -1,9 +1,10 @@
-"""Orders to one engine by its holder: which adapters it holds, one order after the other.
+"""Gives one engine the orders to load and unload adapters, on behalf of its owner.
 
-Wishes wait in order of urgency. Before each order the right to give it is judged anew, at the last
-moment before it is written. An order without an answer may take effect now, late or never; each
-order names the sequence number that the engine must have, so of those with one number only one
-takes effect, and an engine that refuses one for its number is asked for a report.
+Load requests wait in order of priority, and orders are given one at a time. Before each order is
+written to the connection, the authority to give it is checked once more. An order without an answer
+may take effect now, later or never. Each order therefore names the sequence number that the engine
+must have, so that only one of several orders with the same number takes effect. If the engine
+refuses an order because of its number, its report is read.
 """
 
 from __future__ import annotations
@@ -34,52 +35,58 @@
     OrderResult,
 )
 
-# Seconds; answers take a few milliseconds where there is a way. While one is awaited, nothing else
-# can be ordered of the engine.
+# Seconds. A reachable engine answers within a few milliseconds, and no other order can be given to
+# the engine while an answer is awaited.
 ORDER_TIMEOUT: Final = 0.12
 REPORT_TIMEOUT: Final = 0.4  # Seconds.
-REPORT_LAG: Final = 0.2  # Seconds after which a report shows an order; they lag some 100 ms.
-# Seconds until the report is read after an order that was not accepted; doubled with each in a row,
-# as an engine that carries out an order for seconds refuses all others.
+REPORT_LAG: Final = 0.2  # Seconds after which a report shows an order; reports lag some 100 ms.
+# Seconds until the report is read after an order that was not accepted. The pause doubles with each
+# such order in a row, because an engine that executes an order for seconds refuses all others.
 MIN_CONFLICT_PAUSE: Final = 0.06
-MAX_CONFLICT_PAUSE: Final = 0.5
-# Orders without an answer in a row after which the report is read before the next one.
+MAX_CONFLICT_PAUSE: Final = 0.5  # Seconds.
+# Number of orders in a row without an answer after which the report is read before the next one.
 MAX_UNANSWERED_ORDERS: Final = 3
-# An order may be carried out so many seconds after it was given, the known worst case and one more;
-# one meant for an earlier incarnation of the engine may then take effect on the next one, when that
-# has the sequence number named.
+# Seconds within which an order may still be executed after it was given: the known worst case and
+# one second more. An order meant for one incarnation of the engine may thus take effect on the next
+# one, if that has the sequence number named in the order.
 MAX_ORDER_DELAY: Final = 13.0
-# Places of an engine that are kept empty for that time: a load that comes on top of full places
-# crashes the engine. After each that takes effect the next own order is refused for its number, and
-# the report is read, so these can't pile up unseen.
+# Adapter places that are kept empty for that time after a restart, because a load that arrives when
+# all places are full crashes the engine. Late orders can't pile up unnoticed: after one has taken
+# effect, the next order given here is refused for its number, and the report is read.
 PLACES_FOR_LATE_ORDERS: Final = 2
-MODEL_POLL_INTERVAL: Final = (
-    0.4  # Seconds between reports while a base model is loaded; it takes seconds.
-)
+# Seconds between reports while a base model is loaded, which takes seconds.
+MODEL_POLL_INTERVAL: Final = 0.4
 MAX_REPORT_LAG: Final = 0.8  # Seconds after which a report shows all orders answered before.
-REPORT_INTERVAL: Final = 4.0  # Seconds between reports while all goes well; each one has a price.
-IDLE_INTERVAL: Final = 0.3  # Seconds between looks while nothing is wished.
-LOAD_REQUEST_VALID: Final = (
-    0.4  # Seconds that a wish counts; requests repeat theirs while they need it.
-)
-HOST_COPIES: Final = 120  # Adapters that an engine keeps copies of, about.
-# Seconds after which a load that is late is expected again, at least, and as a share of what a load
-# takes: each try in vain spends the allowance of repeats.
+REPORT_INTERVAL: Final = 4.0  # Seconds between reports without problems; each report has a cost.
+IDLE_INTERVAL: Final = 0.3  # Seconds between checks while no load is requested.
+# Seconds for which a load request is valid; it is repeated while the adapter is needed.
+LOAD_REQUEST_VALID: Final = 0.4
+# Approximate number of adapters that an engine keeps copies of in host memory.
+HOST_COPIES: Final = 120
+# Pause until a late load is expected again: least seconds, and share of a load's duration. Each
+# request that is sent too early uses up part of the retry budget.
 MIN_LATE_PAUSE: Final = 0.03
 LATE_SHARE: Final = 0.15
-# Seconds within which it is known here that an engine refused a request for lack of an adapter.
+# Seconds within which this instance learns that an engine refused a request because it lacks an
+# adapter.
 REFUSAL_KNOWN_WITHIN: Final = 0.08
-UNUSED_LOAD_TIMEOUT: Final = 3.0  # Seconds after which a fetch that nobody used tells nothing.
-LOAD_MARGIN: Final = 0.012  # Seconds added to a load's time, for the way of the order.
-RETRY_INTERVAL: Final = (
-    0.03  # Seconds until a wish is tried again that no place could be found for.
-)
-TIMER_SLACK: Final = 0.002  # Seconds added so that a timer is not early.
+# Seconds after which a cold load without any use says nothing about the duration of loads.
+UNUSED_LOAD_TIMEOUT: Final = 3.0
+LOAD_MARGIN: Final = 0.012  # Seconds added to a load's duration for the order's time in transit.
+# Seconds until a load request is retried for which no adapter place could be freed.
+RETRY_INTERVAL: Final = 0.03
+TIMER_SLACK: Final = 0.002  # Seconds added so that a timer doesn't expire too early.
 
 
 @dataclass(slots=True)
 class PendingLoad:
-    """A request somewhere needs an adapter here."""
+    """A requested load that has not been ordered yet.
+
+    Attributes:
+        priority: Rank of the most urgent request for it; 0 is the most urgent.
+        since: Time of the first load request.
+        renewed: Time of the last load request.
+    """
 
     priority: int
     first_requested: float
@@ -88,12 +95,12 @@
 
 @dataclass(slots=True)
 class ColdLoad:
-    """A load that is not warm, until it is known whether it was there in time.
+    """A load from the weight store, until it is known whether it took as long as expected.
 
     Attributes:
-        under_way: Other loads on their way as it began.
-        due: Time at which it was expected to end, in seconds.
-        tried: Time of the first request sent after that; None before.
+        concurrent_loads: Other loads in progress when it began.
+        due: Time at which it is expected to end, in seconds.
+        first_used: Time of the first request dispatched after that; None if there was none.
     """
 
     concurrent_loads: int
@@ -102,11 +109,11 @@
 
 
 class OrderAuthority(msgspec.Struct, frozen=True):
-    """The right to order an engine, judged by the holder of the lease.
+    """The authority to give orders to an engine.
 
     Attributes:
-        holder: Name of this instance.
-        fence: Returns the fencing number; 0 when nothing may be ordered now.
+        owner: Name of this instance.
+        fence: Returns the fencing token; 0 if no orders may be given now.
     """
 
     owner: str
@@ -114,24 +121,24 @@
 
 
 class ControllerContext(msgspec.Struct, frozen=True):
-    """What an orderer uses of its instance.
+    """What an engine controller uses of its instance.
 
     Attributes:
         pools: Connections to endpoints.
-        dialect: How things are spelled.
+        dialect: Encodes orders and decodes their responses.
         metrics: Counters.
-        record: Returns the endpoint's record; None when it is gone.
-        in_use: Returns the adapters in use at an endpoint, by all instances.
-        outdated: Tells whether a newer version of an adapter was named.
-        publish: Sends news to all instances, this one included.
-        news_pause: Returns the seconds between repeated news.
-        pace: What was learned of the time of loads.
-        loads_under_way: Returns the loads on their way, over all engines.
-        was_seen: Tells whether an engine was seen with an adapter before.
-        model_turn: Tells whether a load of a base model may begin now.
-        since_restart: Returns the seconds since an endpoint was seen to start again under its id.
-        noticed: Takes up what an endpoint says of itself in an answer.
-        rest_left: Returns the seconds for which an endpoint wants nothing from this instance.
+        record: Returns the endpoint's record; None if it is gone.
+        in_use: Returns the adapters that any instance uses at an endpoint.
+        is_outdated: Tells whether a newer version of an adapter is published.
+        publish: Sends an update to all instances, including this one.
+        update_interval: Returns the seconds between repeated updates.
+        load_times: Estimates how long loads take.
+        loads_in_progress: Returns the number of loads in progress on all engines.
+        was_loaded_before: Tells whether an engine is known to have had an adapter loaded.
+        may_load_model: Acquires a permit to begin the load of a base model; False if there is none.
+        since_restart: Returns the seconds since an endpoint was seen to restart under its id.
+        on_notice: Handles what an endpoint states about itself in a response.
+        cooldown_left: Returns the seconds for which an endpoint wants no calls from this instance.
     """
 
     pools: ConnectionPools
@@ -152,7 +159,7 @@
 
 
 class EngineController:
-    """The holder's side of one engine."""
+    """Gives orders to one engine, and publishes its state to all instances."""
 
     __slots__ = (
         "_authority",
@@ -185,7 +192,7 @@
         self._spec = spec
         self._authority = authority
         self._context = context
-        self._born = 0  # Start of the engine's incarnation; 0 when it does not say.
+        self._born = 0  # Start time of the engine's incarnation; 0 if unknown.
         self._load_requests: dict[AdapterKey, PendingLoad] = {}
         self._wake_event = asyncio.Event()
         self._update_number = 0
@@ -194,25 +201,22 @@
         self._reset()
 
     def _reset(self) -> None:
-        """Sets what is believed of an engine of which nothing is known."""
+        """Resets what is known of the engine."""
         self._places = AdapterPlaces(self._spec.places, HOST_COPIES)
         self._models: set[str] = set()
         self._failed_orders = 0  # Orders in a row that were not accepted.
         self._blocked_until = 0.0
-        self._executing_order = (
-            False  # Whether the engine carries out an order that keeps it from others.
-        )
-        self._sequence: int | None = None  # None while it is in doubt.
-        self._min_sequence = 0  # Least sequence number that the engine can have, by its answers.
-        self._sequence_moved_at = 0.0  # Time of the last answer that moved it on.
+        self._executing_order = False  # Whether the engine executes an order and accepts no other.
+        self._sequence: int | None = None  # None if it is unknown.
+        self._min_sequence = 0  # Least sequence number that the engine can have, by its responses.
+        self._sequence_moved_at = 0.0  # Time of the last response that raised it.
         self._cold_loads: dict[AdapterName, ColdLoad] = {}
         self._report_due = 0.0
-        self._cooldown_published = (
-            False  # Whether it was told that the engine wants no orders for a while.
-        )
+        # Whether the instances were told that the engine wants no orders for a while.
+        self._cooldown_published = False
 
     def _note_start(self, born: int) -> None:
-        """Notes the start of the engine's incarnation, which may be a new one."""
+        """Notes the start time of the engine's incarnation; a later one means that it restarted."""
         if born <= self._born:
             return
         if self._born:
@@ -221,7 +225,13 @@
         self._born = born
 
     def request_load(self, key: AdapterKey, priority: int, missing: bool) -> None:
-        """Notes that a request needs an adapter; `missing` if the engine just refused one."""
+        """Notes that a request needs an adapter.
+
+        Args:
+            key: The adapter.
+            priority: Rank of the request; 0 is the most urgent.
+            missing: Whether the engine just refused a request because it lacks the adapter.
+        """
         now = monotonic()
         self._places.record_use(key.name, now)
         pause = max(MIN_LATE_PAUSE, LATE_SHARE * self._context.load_times.base_seconds)
@@ -229,44 +239,44 @@
             self._report_due = min(self._report_due, now)
         if missing:
             self._note_late(key.name)
-        wish = self._load_requests.get(key)
-        if wish is None:
+        pending = self._load_requests.get(key)
+        if pending is None:
             self._load_requests[key] = PendingLoad(priority, now, now)
         else:
-            wish.priority = min(wish.priority, priority)
-            wish.last_requested = now
+            pending.priority = min(pending.priority, priority)
+            pending.last_requested = now
         self._wake_event.set()
 
     def wake(self) -> None:
-        """Looks at the engine anew, as something about it has changed."""
+        """Makes the controller check the engine now, because something about it has changed."""
         self._wake_event.set()
 
     def note_use(self, name: AdapterName) -> None:
-        """Notes that a request is sent to the engine."""
+        """Notes that a request for an adapter is dispatched to the engine."""
         now = monotonic()
         self._places.record_use(name, now)
-        fetch = self._cold_loads.get(name)
-        if fetch is not None and now >= fetch.due and fetch.first_used is None:
-            fetch.first_used = now
+        load = self._cold_loads.get(name)
+        if load is not None and now >= load.due and load.first_used is None:
+            load.first_used = now
 
     def _note_late(self, name: AdapterName) -> None:
-        """Learns that a fetch took longer than expected."""
-        fetch = self._cold_loads.pop(name, None)
-        if fetch is not None and fetch.first_used is not None:
-            self._context.load_times.record_late(fetch.concurrent_loads)
+        """Records that a cold load took longer than expected."""
+        load = self._cold_loads.pop(name, None)
+        if load is not None and load.first_used is not None:
+            self._context.load_times.record_late(load.concurrent_loads)
 
     def _note_in_time(self) -> None:
-        """Learns from the fetches whose copies were used and not missed."""
+        """Records the cold loads whose adapters were used without a refusal."""
         now = monotonic()
-        for name, fetch in list(self._cold_loads.items()):
-            if fetch.first_used is not None and now - fetch.first_used > REFUSAL_KNOWN_WITHIN:
-                self._context.load_times.record_on_time(fetch.concurrent_loads)
+        for name, load in list(self._cold_loads.items()):
+            if load.first_used is not None and now - load.first_used > REFUSAL_KNOWN_WITHIN:
+                self._context.load_times.record_on_time(load.concurrent_loads)
                 del self._cold_loads[name]
-            elif now - fetch.due > UNUSED_LOAD_TIMEOUT:
+            elif now - load.due > UNUSED_LOAD_TIMEOUT:
                 del self._cold_loads[name]
 
     async def run(self) -> None:
-        """Carries out wishes; runs until cancelled."""
+        """Serves load requests; runs until cancelled."""
         while True:
             pause = await self._run_once()
             self._note_in_time()
@@ -279,20 +289,22 @@
             self._wake_event.clear()
 
     async def _run_once(self) -> float:
-        """Does what can be done now; returns the seconds until something may be due."""
+        """Does what is due now; returns the seconds until something may be due again."""
         now = monotonic()
         record = self._context.record(self._endpoint)
         if record is None or not self._authority.fence():
             return IDLE_INTERVAL
         self._note_start(record.born)
-        late = self._context.since_restart(self._endpoint) < MAX_ORDER_DELAY
-        self._places.capacity = max(1, self._spec.places - PLACES_FOR_LATE_ORDERS * late)
+        may_get_late_orders = self._context.since_restart(self._endpoint) < MAX_ORDER_DELAY
+        self._places.capacity = max(
+            1, self._spec.places - PLACES_FOR_LATE_ORDERS * may_get_late_orders
+        )
         if now < self._blocked_until:
             return self._blocked_until - now + TIMER_SLACK
-        rest = self._context.cooldown_left(self._endpoint)
-        if rest:
+        cooldown = self._context.cooldown_left(self._endpoint)
+        if cooldown:
             self._publish_cooldown()
-            return rest + TIMER_SLACK
+            return cooldown + TIMER_SLACK
         self._cooldown_published = False
         if self._sequence is None or now >= self._report_due:
             if not await self._read_report(record):
@@ -303,6 +315,7 @@
         return await self._serve_load_requests(record)
 
     async def _serve_load_requests(self, record: EndpointRecord) -> float:
+        """Orders requested loads while it can; returns the seconds until the next attempt."""
         pause = IDLE_INTERVAL
         for key in self._load_requests_in_order():
             now = monotonic()
@@ -324,10 +337,10 @@
         return pause
 
     async def _unload_other_version(self, record: EndpointRecord, key: AdapterKey) -> bool:
-        """Unloads another version of an adapter; False while requests use it.
+        """Unloads another version of an adapter; returns False while requests use it.
 
-        An engine that is ordered to replace a copy in use takes no other order until the last of
-        its requests has ended, which takes seconds.
+        If it were ordered to replace a version in use, the engine would accept no other order until
+        the last request for it has completed, which takes seconds.
         """
         if key.name in self._context.in_use(self._endpoint):
             return False
@@ -335,6 +348,7 @@
         return old is not None and await self._unload(record, old)
 
     def _load_requests_in_order(self) -> list[AdapterKey]:
+        """Drops expired load requests; returns the others, the most urgent first."""
         now = monotonic()
         for key in [
             k for k, w in self._load_requests.items() if now - w.last_requested > LOAD_REQUEST_VALID
@@ -346,6 +360,7 @@
         )
 
     async def _make_room(self, record: EndpointRecord) -> bool:
+        """Unloads an adapter that is not needed; returns whether a place is free now."""
         now = monotonic()
         spared = self._context.in_use(self._endpoint) | {key.name for key in self._load_requests}
         loaded = self._places.ready_copies(now)
@@ -356,27 +371,31 @@
         return await self._unload(record, victim)
 
     async def _unload(self, record: EndpointRecord, victim: AdapterKey) -> bool:
+        """Orders an unload; returns whether the adapter's place is free now."""
         result = await self._send_order(record, load=False, key=victim)
         if result is OrderResult.HOLDS:
             self._places.remove(victim.name)
             return True
         if result is OrderResult.STARTED:
-            # It ends when requests that use it have ended; a report will show that.
+            # It ends when the requests that use the adapter have completed; a report will show it.
             self._report_due = monotonic() + REPORT_LAG
         return False
 
     async def _load(self, record: EndpointRecord, key: AdapterKey) -> bool:
+        """Orders a load; returns whether the adapter is being loaded or is loaded already."""
         warm = self._places.is_warm(key.name) or self._context.was_loaded_before(
             self._endpoint, key
         )
         result = await self._send_order(record, load=True, key=key)
         now = monotonic()
         if result is OrderResult.STARTED:
-            under_way = self._context.loads_in_progress()
-            takes = self._context.load_times.expected_seconds(warm, under_way) + LOAD_MARGIN
-            self._places.begin_load(key, now, takes)
+            concurrent_loads = self._context.loads_in_progress()
+            duration = (
+                self._context.load_times.expected_seconds(warm, concurrent_loads) + LOAD_MARGIN
+            )
+            self._places.begin_load(key, now, duration)
             if not warm:
-                self._cold_loads[key.name] = ColdLoad(under_way, now + takes)
+                self._cold_loads[key.name] = ColdLoad(concurrent_loads, now + duration)
             return True
         if result is OrderResult.HOLDS:
             self._places.mark_ready(key, now)
@@ -384,38 +403,40 @@
         return False
 
     async def _load_model(self, record: EndpointRecord) -> float:
+        """Orders the load of the missing base model; returns the seconds until the next report."""
         model = self._missing_model()
         if model is None or self._executing_order or not self._context.may_load_model():
             return MODEL_POLL_INTERVAL
         result = await self._send_order(record, load=True, key=AdapterKey(model.name, "", 0))
         if result in (OrderResult.STARTED, OrderResult.HOLDS):
-            # Until a report shows the model, or that nothing is under way, nothing is ordered.
+            # No order is given until a report shows the model, or that no order is being executed.
             self._executing_order = True
             self._report_due = monotonic() + max(MAX_REPORT_LAG, model.load_time)
         return MODEL_POLL_INTERVAL
 
     def _missing_model(self) -> ModelSpec | None:
-        """Returns the model to load on an engine that has none."""
+        """Returns the model to load if the engine has none; None otherwise."""
         if self._models or not self._spec.models:
             return None
         return self._spec.models[0]
 
     async def _send_order(self, record: EndpointRecord, load: bool, key: AdapterKey) -> OrderResult:
+        """Sends an order if this instance still has the authority; returns the result."""
         fence = self._authority.fence()
         if not fence:
             return OrderResult.REFUSED
         order = Order(load, key, self._authority.owner, fence, self._sequence)
         body = self._context.dialect.order_body(order)
         path = self._context.dialect.order_path
-        answer = await self._call(
+        response = await self._call(
             record, "POST", path, body, ORDER_TIMEOUT, lambda: self._may_order(fence)
         )
         result = OrderResult.UNKNOWN
-        if not answer.sent:
+        if not response.sent:
             result = OrderResult.REFUSED
-        elif answer.status:
-            result = self._context.dialect.order_result(answer.status)
-        self._note_result(order, result, answer.status)
+        elif response.status:
+            result = self._context.dialect.order_result(response.status)
+        self._note_result(order, result, response.status)
         return result
 
     async def _call(
@@ -427,23 +448,24 @@
         timeout: float,
         may_send: Callable[[], bool],
     ) -> CallResult:
-        """Calls the engine, and takes up what its answer says of it."""
-        around = self._context
-        answer = await call_endpoint(
-            around.pools, around.dialect, record, method, path, body, timeout, may_send
+        """Calls the engine, and handles what its response states about it."""
+        context = self._context
+        response = await call_endpoint(
+            context.pools, context.dialect, record, method, path, body, timeout, may_send
         )
-        if answer.notice is not None:
-            around.on_notice(record, answer.notice)
-        return answer
+        if response.notice is not None:
+            context.on_notice(record, response.notice)
+        return response
 
     def _accepts_calls(self) -> bool:
-        """Tells whether the engine takes calls from this instance now."""
+        """Tells whether the engine accepts calls from this instance now."""
         return not self._context.cooldown_left(self._endpoint)
 
     def _may_order(self, fence: int) -> bool:
         return self._authority.fence() == fence and self._accepts_calls()
 
     def _note_result(self, order: Order, result: OrderResult, status: int) -> None:
+        """Logs an order, and updates the expected sequence number by its result."""
         log(
             "order",
             endpoint=self._endpoint,
@@ -466,38 +488,40 @@
             return
         self._failed_orders += 1
         if result is OrderResult.UNKNOWN and self._failed_orders <= MAX_UNANSWERED_ORDERS:
-            # If it took effect, the next order meets a number that has moved on; if not, the next
-            # one moves it on, and it never can. So nothing has to be read for now.
+            # If the order took effect, the next one is refused for its number. If not, the next one
+            # raises the number, and this one can no longer take effect. So no report is needed now.
             return
-        # What is believed of the engine is doubtful.
+        # What is known of the engine may be wrong.
         self._sequence = None
         pause = min(MAX_CONFLICT_PAUSE, MIN_CONFLICT_PAUSE * 2.0 ** (self._failed_orders - 1))
         self._blocked_until = monotonic() + pause
 
     async def _read_report(self, record: EndpointRecord) -> bool:
-        """Reads the engine's report; returns whether it shows all orders given."""
+        """Reads the engine's report; returns whether the sequence number is known after it."""
         path = self._context.dialect.report_path
-        answer = await self._call(record, "GET", path, b"", REPORT_TIMEOUT, self._accepts_calls)
+        response = await self._call(record, "GET", path, b"", REPORT_TIMEOUT, self._accepts_calls)
         self._context.metrics.reports.inc()
-        if answer.status != 200:
-            log("report_failed", "WARNING", endpoint=self._endpoint, status=answer.status)
+        if response.status != 200:
+            log("report_failed", "WARNING", endpoint=self._endpoint, status=response.status)
             self._report_due = monotonic() + REPORT_LAG
             return False
         try:
-            report = self._context.dialect.decode_report(answer.body)
+            report = self._context.dialect.decode_report(response.body)
         except ValueError as exc:
             log("report_unreadable", "ERROR", endpoint=self._endpoint, reason=str(exc))
             return False
         return self._apply_report(report)
 
     def _apply_report(self, report: EngineReport) -> bool:
+        """Applies a report; returns whether the sequence number is known after it."""
         now = monotonic()
         if report.born and report.born < self._born:
-            return False  # Of an earlier incarnation.
+            return False  # The report is from an earlier incarnation.
         self._note_start(report.born)
         if report.sequence < self._min_sequence and now - self._sequence_moved_at < MAX_REPORT_LAG:
-            # Sampled before the last order that the engine accepted: it tells nothing new. Later
-            # the report is right, and what was counted was not: some answers move nothing on.
+            # The report was made before the last accepted order, so it shows nothing new. A report
+            # that is still lower after the greatest lag is right and the count here was wrong:
+            # some accepted orders don't raise the number.
             self._report_due = now + REPORT_LAG
             return self._sequence is not None
         held = [key for model in report.models for key in model.adapters]
@@ -518,7 +542,7 @@
         return True
 
     def _publish_cooldown(self) -> None:
-        """Tells, once for each rest, that no loads can be asked for, so that nobody waits."""
+        """Publishes once for each cooldown that no loads are accepted, so that nobody waits."""
         if not self._cooldown_published:
             self._cooldown_published = True
             self._publish_update()
@@ -537,22 +561,22 @@
         self._published_at = now
         in_use = self._context.in_use(self._endpoint)
         models = sorted(self._models)
-        place = {model: number for number, model in enumerate(models)}
-        news = EngineUpdate(
+        index = {model: number for number, model in enumerate(models)}
+        update = EngineUpdate(
             sender=self._authority.owner,
             endpoint=self._endpoint,
             fence=self._update_fence,
             number=self._update_number,
             models=models,
             ready=[
-                (place[key.model], key.adapter, key.version)
+                (index[key.model], key.adapter, key.version)
                 for key in self._places.ready_copies(now)
-                if key.model in place
+                if key.model in index
             ],
             loading=[
-                (place[key.model], key.adapter, key.version, int(left * 1000))
+                (index[key.model], key.adapter, key.version, int(left * 1000))
                 for key, left in self._places.loading_copies(now)
-                if key.model in place
+                if key.model in index
             ],
             free_places=self._places.evictable_count(in_use, now),
             accepts_loads=bool(fence) and self._sequence is not None and self._accepts_calls(),
@@ -560,4 +584,4 @@
             load_ms=int(self._context.load_times.base_seconds * 1000),
         )
         if self._update_fence:
-            self._context.publish(news)
+            self._context.publish(update)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/engineviews.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/engineviews.py
@@ -1,8 +1,8 @@
-"""What an instance believes of the engines' adapter places, as their holders tell.
+"""This instance's view of the adapter places of each engine, from the updates of their owners.
 
-Views are only beliefs: an engine that lacks an adapter after all refuses the request without
-running it, and the view is corrected. The adapters that an engine was seen with are remembered, as
-engines keep copies of them from which a load is much faster.
+A view may be wrong. An engine that lacks an adapter after all refuses the request without running
+it, and the view is corrected. Adapters that an engine has had loaded are remembered, because the
+engine keeps copies of them from which a load is much faster.
 """
 
 from __future__ import annotations
@@ -18,35 +18,38 @@
 
 from wigeonarch_gateway.messages import Adapter, EngineUpdate
 
-# Adapters per engine that are remembered as having been there.
+# Number of adapters remembered for each engine as having been loaded.
 MAX_SEEN_ADAPTERS: Final = 120
-# Seconds within which an engine that lacks an adapter has refused a request.
+# Seconds within which an engine that lacks an adapter refuses a request.
 TRIAL_TIME: Final = 0.008
-# News are repeated every one to three seconds, so a holder without any for so long is not heard.
-UPDATE_VALID: Final = 6.0  # Seconds.
+# Seconds for which an update is valid. Updates are repeated every one to three seconds, so an owner
+# without any for so long is unreachable.
+UPDATE_VALID: Final = 6.0
 NEVER: Final = float("-inf")  # Before all times.
 
 
 @dataclass(slots=True)
 class EngineView:
-    """The places of one engine.
+    """The adapter places of one engine.
 
     Attributes:
-        holder: Instance that orders it; empty when none is known.
-        fence: The holder's fencing number.
-        number: Number of the last news.
-        heard: Time of the last news, in seconds.
-        models: Base models that it holds.
-        ready: Adapters that it holds, with their versions.
-        loading: Adapters on their way, with the time at which they should be there.
-        seen: Adapters that it was seen with, the last one at the end.
-        free: Places that are empty or idle.
-        orders: Whether the holder may order now.
-        tried: When a copy that should just have come was first asked for.
-        began: When the loads under way were first heard of.
-        told: Models and adapters as its holder last told them, while `ready` is what they say.
-        born: Start of the engine's incarnation; 0 when it is not known.
-        load_time: Seconds of a load that must be fetched, while few others are.
+        owner: Instance that gives it orders; empty if unknown.
+        fence: The owner's fencing token.
+        update_number: Sequence number of the last update.
+        last_update: Time of the last update, in seconds.
+        models: Base models that are loaded.
+        ready: Adapters that are loaded, with their versions.
+        loading: Adapters being loaded, with the times at which the loads should end.
+        free_places: Places that are empty or whose adapter is not in use.
+        accepts_loads: Whether the owner may give orders now.
+        seen: Adapters that it has had loaded, the latest at the end.
+        trials: Times at which the first request for an adapter was dispatched after its load should
+            have ended.
+        loads_began: Times at which the loads in progress became known.
+        last_reported: Models and adapters of the owner's last update; None if `ready` was changed
+            since.
+        born: Start time of the engine's incarnation; 0 if unknown.
+        load_time: Seconds that a load takes which must be fetched while few others are in progress.
     """
 
     owner: str = ""
@@ -66,56 +69,56 @@
     load_time: float = COLD_LOAD
 
     def adapter_names(self) -> set[AdapterName]:
-        """Returns the adapters that it holds or that are on their way."""
+        """Returns the adapters that are loaded or being loaded."""
         return {*self.ready, *(key.name for key in self.loading)}
 
     def can_serve(self, key: AdapterKey, now: float) -> bool:
-        """Tells whether requests for an adapter can be sent.
+        """Tells whether requests for an adapter can be dispatched.
 
-        When a load should have ended, one request goes first; the others follow if it was not
-        refused within the time of an answer.
+        When a load should have ended, one request is dispatched as a trial. The others follow if
+        the engine has not refused it within `TRIAL_TIME`.
         """
         name = key.name
         if self.trials and now - self.trials.get(name, NEVER) < TRIAL_TIME:
             return False
-        held = self.ready.get(name)
-        if held is not None and satisfies(held, key.version):
+        version = self.ready.get(name)
+        if version is not None and satisfies(version, key.version):
             return True
         return bool(self.loading) and self.loading.get(key, float("inf")) <= now
 
     def note_sending(self, key: AdapterKey, now: float) -> None:
-        """Notes that a request is sent; the first one after a load is a trial."""
+        """Notes that a request is dispatched; the first one after a load is a trial."""
         if key in self.loading and key.name not in self.trials:
             self.trials[key.name] = now
 
     def loading_left(self, key: AdapterKey, now: float) -> float | None:
-        """Returns the seconds until a load ends; None when none is under way."""
+        """Returns the seconds until an adapter's load ends; None if it is not being loaded."""
         if not self.loading:
             return None
         ready_at = self.loading.get(key)
         return None if ready_at is None else max(0.0, ready_at - now)
 
     def can_request_load(self, now: float) -> bool:
-        """Tells whether the holder can be asked for a load."""
+        """Tells whether the owner can be asked for a load."""
         return self.accepts_loads and now - self.last_update < UPDATE_VALID
 
     def replaces(self, key: AdapterKey) -> bool:
-        """Tells whether the engine holds a version that does not serve a request."""
-        held = self.ready.get(key.name)
-        return held is not None and not satisfies(held, key.version)
+        """Tells whether a load would replace another version that doesn't satisfy the request."""
+        version = self.ready.get(key.name)
+        return version is not None and not satisfies(version, key.version)
 
     def is_warm(self, key: AdapterKey) -> bool:
-        """Tells whether the adapter was there before."""
+        """Tells whether the engine has had the adapter loaded, so that a load is fast."""
         return key.name in self.seen
 
 
 def to_adapter(key: AdapterKey) -> Adapter:
-    """Returns the form of a key in messages."""
+    """Returns an adapter key as it is sent in messages."""
     return (key.model, key.adapter, key.version)
 
 
 def from_adapter(adapter: Adapter) -> AdapterKey:
-    """Returns the key of a message's adapter."""
+    """Returns the adapter key for an adapter in a message."""
     return AdapterKey(*adapter)
 
 
@@ -129,18 +132,19 @@
         self._waiters: dict[asyncio.Future[None], str] = {}
 
     def get(self, endpoint: str) -> EngineView:
-        """Returns the view of an engine; an empty one when nothing is known."""
+        """Returns the view of an engine; an empty one if nothing is known of it."""
         view = self._views.get(endpoint)
         if view is None:
-            # Not by `setdefault`, which would make a view at each of some thousand calls a second.
+            # `setdefault` would create a view in each of some thousand calls per second.
             view = self._views[endpoint] = EngineView()
         return view
 
     def apply_update(self, update: EngineUpdate) -> None:
-        """Takes over what a holder tells; news of an older holder or out of order are void.
+        """Applies an update of an engine's owner.
 
-        So are those of an earlier incarnation of the engine; the first ones of a new incarnation
-        end all that is believed of the one before.
+        Updates of an earlier owner, out of order, or of an earlier incarnation of the engine are
+        ignored. The first update of a new incarnation discards all that was known of the one
+        before.
         """
         view = self.get(update.endpoint)
         if update.born < view.born or (update.fence, update.number) <= (
@@ -157,7 +161,7 @@
         view.fence = update.fence
         view.update_number = update.number
         view.last_update = now
-        # Most news repeat what is known.
+        # Most updates repeat what is known.
         if update.loading or view.loading or view.last_reported != (update.models, update.ready):
             self._take_places(view, update, now)
         if view.trials:
@@ -172,18 +176,18 @@
         before = view.adapter_names()
         view.last_reported = (models, update.ready)
         view.models = frozenset(models)
-        view.ready = {(models[place], name): version for place, name, version in update.ready}
+        view.ready = {(models[index], name): version for index, name, version in update.ready}
         view.loading = {
-            AdapterKey(models[place], name, version): now + ms / 1000
-            for place, name, version, ms in update.loading
+            AdapterKey(models[index], name, version): now + ms / 1000
+            for index, name, version, ms in update.loading
         }
         view.loads_began = {key.name: view.loads_began.get(key.name, now) for key in view.loading}
-        # What stays is remembered as it leaves.
+        # An adapter that stays is remembered when it is unloaded.
         for name in before ^ view.adapter_names():
             self._remember(view, name)
 
     def note_owner_silent(self, owner: str) -> None:
-        """Notes that a holder is not heard any more: nobody can be asked for loads there."""
+        """Notes that an owner is unreachable, so its engines can't be asked for loads."""
         for endpoint, view in self._views.items():
             if view.owner == owner:
                 view.accepts_loads = False
@@ -192,7 +196,7 @@
     def take_self_description(
         self, endpoint: str, models: frozenset[str], ready: dict[AdapterName, int]
     ) -> None:
-        """Takes over what an endpoint said of itself, until its holder is heard."""
+        """Applies an endpoint's own description, which counts until its owner sends an update."""
         view = self.get(endpoint)
         if view.fence:
             return
@@ -201,7 +205,13 @@
         self.wake(endpoint)
 
     def note_missing_adapter(self, endpoint: str, key: AdapterKey, pause: float) -> None:
-        """Notes that an engine refused a request for lack of an adapter."""
+        """Notes that an engine refused a request because it lacks an adapter.
+
+        Args:
+            endpoint: The engine.
+            key: The adapter.
+            pause: Seconds until a load that is late is expected to end.
+        """
         view = self.get(endpoint)
         view.trials.pop(key.name, None)
         if key in view.loading:
@@ -211,10 +221,10 @@
             view.last_reported = None
 
     def loads_in_progress(self) -> int:
-        """Returns the loads begun within the time that a fetch takes, over all engines.
+        """Returns the number of loads on all engines that began within the duration of a cold load.
 
-        Loads that are late are not counted: their lateness would lengthen what is expected of the
-        next ones, and with that the time for which those are counted.
+        Late loads are not counted. Their delay would lengthen the expected duration of the next
+        loads, and thereby the time for which those are counted.
         """
         now = monotonic()
         return sum(
@@ -224,20 +234,21 @@
         )
 
     def seen_adapters(self) -> list[tuple[str, list[AdapterName]]]:
-        """Returns the adapters that each engine was seen with, to tell an instance that starts."""
+        """Returns the adapters that each engine has had loaded, for a starting instance."""
         return [(endpoint, list(view.seen)) for endpoint, view in self._views.items() if view.seen]
 
     def add_seen_adapters(self, endpoint: str, names: list[AdapterName]) -> None:
-        """Takes over what another instance saw before this one started."""
+        """Adds adapters that another instance saw on an engine before this one started."""
         view = self.get(endpoint)
         known = list(view.seen)
         for name in (*names, *known):
             self._remember(view, name)
 
     def note_restart(self, endpoint: str, born: int) -> None:
-        """Forgets what was believed of an engine before its incarnation that started at `born`.
+        """Discards what was known of an engine before its incarnation that started at `born`.
 
-        Its holder goes on with the same numbers, so these stay.
+        The owner, its fencing token and the update number stay, because the owner continues to
+        count from them.
         """
         old = self.get(endpoint)
         if old.born >= born:
@@ -253,13 +264,18 @@
         self.wake()
 
     def wake(self, endpoint: str = "") -> None:
-        """Wakes the requests that wait for an engine, or for any; all of them without one."""
+        """Wakes the requests that wait for an engine or for any; all requests if none is given."""
         for fut, awaited in self._waiters.items():
             if not fut.done() and (not endpoint or awaited in ("", endpoint)):
                 fut.set_result(None)
 
     async def wait_for_change(self, timeout: float, endpoint: str = "") -> None:
-        """Waits until the view of an engine, or any, changes; at most so many seconds."""
+        """Waits until the view of an engine changes, or of any engine without one.
+
+        Args:
+            timeout: Seconds to wait at most.
+            endpoint: The engine; empty for any.
+        """
         fut: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters[fut] = endpoint
         try:
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/events.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/events.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events, so that none is passed on in part."""
+"""Splits a stream of server-sent events into complete events, so that none is forwarded in part."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class EventSplitter:
-    """Holds back the beginning of an event until its end has come.
+    """Holds back an incomplete event until its end arrives.
 
     Attributes:
-        last_id: Id of the last whole event; empty before the first.
-        count: Whole events so far.
+        last_id: Id of the last complete event; empty before the first.
+        count: Number of complete events so far.
     """
 
     __slots__ = ("_partial", "count", "last_id")
@@ -24,34 +24,34 @@
         self.count = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Takes bytes and returns the whole events that they complete."""
+        """Adds bytes to the stream; returns the events that they complete."""
         data = self._partial + data if self._partial else data
         end = data.rfind(END)
         if end < 0:
             self._partial = data
             return b""
-        whole = data[: end + len(END)]
+        complete = data[: end + len(END)]
         self._partial = data[end + len(END) :]
-        self.count += whole.count(END)
-        self._note_id(whole)
-        return whole
+        self.count += complete.count(END)
+        self._note_id(complete)
+        return complete
 
     def discard_partial(self) -> None:
-        """Forgets the beginning of an event whose stream broke off."""
+        """Discards an incomplete event whose stream ended early."""
         self._partial = b""
 
     def take_partial(self) -> bytes:
-        """Returns and forgets what follows the last whole event."""
+        """Returns the bytes after the last complete event, and discards them here."""
         data, self._partial = self._partial, b""
         return data
 
-    def _note_id(self, whole: bytes) -> None:
-        at = whole.rfind(b"\n" + ID_FIELD)
+    def _note_id(self, complete: bytes) -> None:
+        at = complete.rfind(b"\n" + ID_FIELD)
         if at >= 0:
             start = at + 1 + len(ID_FIELD)
-        elif whole.startswith(ID_FIELD):
+        elif complete.startswith(ID_FIELD):
             start = len(ID_FIELD)
         else:
             return
-        end = whole.find(b"\n", start)
-        self.last_id = whole[start:end].strip().decode("latin-1")
+        end = complete.find(b"\n", start)
+        self.last_id = complete[start:end].strip().decode("latin-1")
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/exchange.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/exchange.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request, as the door offers it to what passes requests on."""
+"""The caller's side of one request, as the HTTP server hands it to the request pipeline."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """A whole request of a caller.
+    """A complete request of a caller.
 
     Attributes:
-        method: Its method.
+        method: HTTP method.
         target: Path and query, as sent.
-        host: Host that it names.
-        raw_headers: Headers as sent.
-        headers: Headers by lower-case name; the first of each.
-        body: Its body.
-        received: Time at which its head was read, in seconds.
+        host: Value of the Host header; empty if there is none.
+        raw_headers: All headers, as sent.
+        headers: Headers by lower-case name; of a repeated header, the first value.
+        body: The complete body.
+        received: Time at which the request's head was read, in seconds of the monotonic clock.
     """
 
     method: str
@@ -33,28 +33,28 @@
 
     @property
     def path(self) -> str:
-        """Returns the path without its query."""
+        """Returns the path without the query."""
         return self.target.partition("?")[0]
 
 
 class ResponseWriter(Protocol):
-    """Where the answer goes."""
+    """Sends the response to the caller."""
 
     @property
     def started(self) -> bool:
-        """Tells whether a part of the answer was sent."""
+        """Tells whether a part of the response was sent."""
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Sends a whole answer."""
+        """Sends a complete response."""
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Sends the head of an answer whose body follows in parts."""
+        """Sends the head of a response whose body follows in parts."""
 
     async def write(self, data: bytes) -> None:
         """Sends a part of the body."""
 
     async def finish(self) -> None:
-        """Ends the answer as complete."""
+        """Marks the response as complete."""
 
     def abort(self) -> None:
-        """Ends the connection, so that the answer does not look complete."""
+        """Closes the connection, so that the caller does not take the response for complete."""
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/feeding.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/feeding.py
@@ -1,13 +1,14 @@
-"""One kind of stored objects as one instance knows it, and what it can tell others of it.
+"""Tracks the revisions of one kind of stored objects, and retains recent changes for followers.
 
-Changes come from the instance's own watch and from peers that watch the store for it, in any mix,
-twice or late. They are safe to mix, as each object has the store's revision of its last change: a
-change that is not newer than the state is dropped, and so is a removal of an object that was made
-anew since. What came lately is kept in order, so a peer that has the state of an earlier revision
-can be brought to this one; one that lacks more must ask the store.
+Changes come from the instance's own watch and from peers that watch the store for it, in any order,
+late or more than once. This is safe because each object carries the store's revision of its last
+change: a change that is not newer than the state is dropped, and so is the removal of an object
+that has been created again since. Recent changes are retained in order, so a peer whose state is
+that of an earlier revision can be brought up to date; one that lacks older changes must read the
+store.
 
-Revisions bear the store's era (see `core.revisions`). A list of the next era differs in all of its
-revisions, so each object counts as changed, whatever its number was before.
+Revisions include the store's era (see `core.revisions`). In a list of the next era all revisions
+differ, so each object counts as changed, whatever its number was before.
 """
 
 from __future__ import annotations
@@ -18,13 +19,13 @@
 
 from wigeonarch_gateway.ports import Change, StoredObject
 
-# Changes that are kept for peers. A peer asks about each second, in which a deployment of 70
-# engines with 40 loads a second has 80 changes.
+# Number of changes that are retained for peers. A peer asks about once a second, and a deployment
+# of 70 engines with 40 loads per second has 80 changes in that time.
 MAX_RETAINED_CHANGES: Final = 400
 
 
 class ChangeFeed:
-    """What is known of one kind.
+    """The revisions of all objects of one kind, and its recent changes.
 
     Attributes:
         as_of: Revision of the state; None before the first list.
@@ -33,18 +34,18 @@
     __slots__ = ("_floor", "_retained", "_revisions", "as_of")
 
     def __init__(self) -> None:
-        """Knows nothing."""
+        """Creates a feed that has no state yet."""
         self.as_of: int | None = None
         self._revisions: dict[str, int] = {}
         self._retained: deque[tuple[int, Change]] = deque()
         self._floor = 0
 
     def apply_list(self, objects: Sequence[StoredObject], as_of: int) -> list[Change] | None:
-        """Takes over a whole list.
+        """Replaces the state by a list of all objects.
 
         Returns:
-            What differs from the state before, none of it at the first list; None when the list
-            does not count, as it is older than the state.
+            The changes from the state before; none for the first list. None if the list was ignored
+            because it is older than the state.
         """
         before = self.as_of
         if before is not None and as_of < before:
@@ -57,7 +58,7 @@
         return changes
 
     def _differences(self, objects: Sequence[StoredObject], as_of: int) -> list[Change]:
-        """Returns the changes that lead from the state to a list; peers need no list then."""
+        """Returns the changes from the state to a list, so that peers need no list."""
         left = self._revisions.keys() - {found.name for found in objects}
         removed = [Change(StoredObject(name, as_of, None), True) for name in sorted(left)]
         put = [
@@ -70,10 +71,10 @@
     def apply_changes(
         self, changes: Sequence[Change], since: int, as_of: int
     ) -> list[Change] | None:
-        """Takes over what changed from one revision to another.
+        """Applies the changes between two revisions.
 
         Returns:
-            The changes that are news, in order; None when changes before them are missing.
+            The changes that are new, in order; None if changes before `since` are missing.
         """
         if self.as_of is None or since > self.as_of:
             return None
@@ -82,7 +83,7 @@
         return fresh
 
     def retain(self, changes: Iterable[Change]) -> None:
-        """Keeps changes that were just taken over, for peers that lack them."""
+        """Retains changes that were just applied, for peers that lack them."""
         assert self.as_of is not None
         for change in changes:
             self._retained.append((self.as_of, change))
@@ -90,22 +91,22 @@
             self._floor = self._retained.popleft()[0]
 
     def retained_up_to(self) -> int:
-        """Returns the revision of the last change kept: who has it lacks none of them."""
+        """Returns the revision of the last retained change; a peer that has it lacks none."""
         return self._retained[-1][0] if self._retained else self._floor
 
     def changes_after(self, revision: int) -> list[Change] | None:
-        """Returns what changed after a revision; None when that is not known any more."""
+        """Returns the changes after a revision; None if they are no longer retained."""
         if self.as_of is None or revision < self._floor:
             return None
         return [change for as_of, change in self._retained if as_of > revision]
 
     def _apply_change(self, change: Change) -> bool:
-        """Notes a change; returns whether it is news."""
+        """Applies a change; returns whether it was new."""
         assert self.as_of is not None
         name, revision = change.stored.name, change.stored.revision
         known = self._revisions.get(name)
         if change.deleted:
-            # Not so if it was made anew since; a state as of later has no object to remove.
+            # The object was created again since, or the state already lacks it.
             if known is None or known > revision:
                 return False
             del self._revisions[name]
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/forwarding.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/forwarding.py
@@ -1,9 +1,9 @@
-"""The way of an admitted request: endpoint, answer, and what may be tried again.
+"""Forwards an admitted request to endpoints until one gives a response, or no retry is allowed.
 
-Once a byte of a request was written to an endpoint, the request may have run; only the endpoint's
-own word that it did not makes it "not run" again. What may have run is sent again only where its
-route allows that. Requests come from `serving`; endpoints are found by `finding`; how requests end
-is in `closing`.
+Once a byte of a request was written to an endpoint, the request may have run; it counts as not run
+only if the endpoint itself says so. A request that may have run is sent again only if its route
+allows that. Requests come from `serving`, endpoints are chosen by `selection`, and responses to the
+caller are sent by `responder`.
 """
 
 from __future__ import annotations
@@ -42,24 +42,24 @@
     NoEndpointReason.LIMITED: texts.LIMITED,
 }
 EVENT_STREAM: Final = b"text/event-stream"
-# Pause before an engine that lacked an adapter against expectation is tried again, in seconds, and
-# as a share of what a load takes there.
+# Pause before an engine that was believed to have an adapter and lacked it is tried again: in
+# seconds, at least, and as a share of the time that a load takes there.
 MIN_MISSING_ADAPTER_PAUSE: Final = 0.03
 MISSING_ADAPTER_LOAD_SHARE: Final = 0.15
-RETRY_POLL_INTERVAL: Final = 0.05  # Seconds between looks for an allowed repeat.
-# Refused sends of one request after which it is refused itself.
-MAX_REFUSALS: Final = 6
-# Share of the objective after which an endpoint without an answer is given up, where a request may
-# be sent again: it would be late in any case, and an answer that was lost never comes.
+RETRY_POLL_INTERVAL: Final = 0.05  # Seconds between checks whether the retry budget allows a retry.
+MAX_REFUSALS: Final = 6  # Refused dispatches of one request; after one more it is refused itself.
+# Share of the latency objective after which a dispatch without a response is given up, if the
+# request may be sent again: the response would be late in any case, and a lost one never comes.
 RESPONSE_TIMEOUT_SHARE: Final = 1.2
-# Answers that are not streams are read whole before they are passed on; bytes.
+# Largest body of a response that is not a stream; such a body is read completely before it is
+# forwarded.
 MAX_BODY_BYTES: Final = 16 * 1024 * 1024
-# Output tokens that a request is expected to use of its greatest length.
+# Share of the requested output length that a request is expected to use.
 EXPECTED_OUTPUT_SHARE: Final = 0.5
 
 
 class Forwarder:
-    """Passes requests on."""
+    """Forwards requests to endpoints and their responses to callers."""
 
     __slots__ = (
         "_dialect",
@@ -82,27 +82,30 @@
         views: EngineViews,
         traffic: InFlightTracker,
         pools: ConnectionPools,
-        wishes: LoadRequests,
+        load_requests: LoadRequests,
         retries: RetryWindow,
-        evidence: DispatchOutcomes,
+        outcomes: DispatchOutcomes,
         metrics: Metrics,
-        finder: EndpointSelector,
-        closing: Responder,
+        selector: EndpointSelector,
+        responder: Responder,
     ) -> None:
         self._dialect = dialect
         self._endpoints = endpoints
         self._views = views
         self._traffic = traffic
         self._pools = pools
-        self._load_requests = wishes
+        self._load_requests = load_requests
         self._retries = retries
-        self._outcomes = evidence
+        self._outcomes = outcomes
         self._metrics = metrics
-        self._selector = finder
-        self._responder = closing
+        self._selector = selector
+        self._responder = responder
 
     async def forward(self, job: Job) -> None:
-        """Tries until the caller has its answer; cancelled when the time or the caller is gone."""
+        """Dispatches a request until its caller has a response.
+
+        The task is cancelled when the request's deadline passes or its caller disconnects.
+        """
         while not await self._refuse_if_quarantined(job):
             record = await self._selector.select(job)
             if isinstance(record, NoEndpointReason):
@@ -111,79 +114,82 @@
                 return
             if await self._refuse_if_quarantined(job):
                 return
-            again = await self._dispatch(job, record)
-            if again is None:
+            failure = await self._dispatch(job, record)
+            if failure is None:
                 return
-            if again is not DispatchFailure.LACKS_ADAPTER:
+            if failure is not DispatchFailure.LACKS_ADAPTER:
                 job.avoided_endpoints.add(record.endpoint)
-            if not await self._may_retry(job, record, again):
+            if not await self._may_retry(job, record, failure):
                 return
 
     async def _refuse_if_quarantined(self, job: Job) -> bool:
-        """Refuses a request under which endpoints end; returns whether it did.
+        """Refuses a request that crashes endpoints; returns whether it did.
 
-        Others may have seen that while this request looked for an endpoint.
+        Checked again after an endpoint was selected: meanwhile other instances may have reported
+        further crashes.
         """
-        held = self._outcomes.quarantine_left(job)
-        if not held:
+        quarantine_left = self._outcomes.quarantine_left(job)
+        if not quarantine_left:
             return False
-        await self._responder.give_up(job, "quarantined", texts.QUARANTINED, held)
+        await self._responder.give_up(job, "quarantined", texts.QUARANTINED, quarantine_left)
         return True
 
-    async def _may_retry(self, job: Job, record: EndpointRecord, again: DispatchFailure) -> bool:
-        """Decides whether another try follows; if not, answers."""
+    async def _may_retry(self, job: Job, record: EndpointRecord, failure: DispatchFailure) -> bool:
+        """Decides whether another dispatch follows a failed one; if not, responds to the caller."""
         log(
             "try_failed",
             request=job.request_id,
             endpoint=record.endpoint,
-            reason=again.value,
+            reason=failure.value,
             sends=job.dispatch_count,
             waited=monotonic() - job.request.received,
         )
-        if again in MAY_HAVE_RUN and not job.may_repeat:
-            await self._responder.fail(job, again)
+        if failure in MAY_HAVE_RUN and not job.may_repeat:
+            await self._responder.fail(job, failure)
             return False
-        job.refusal_count += again not in MAY_HAVE_RUN
+        job.refusal_count += failure not in MAY_HAVE_RUN
         if job.refusal_count > MAX_REFUSALS:
             await self._responder.give_up(job, "endpoints_full", texts.ENDPOINTS_FULL)
             return False
-        if again is not DispatchFailure.NOT_SENT and not await self._take_retry(job, again):
+        if failure is not DispatchFailure.NOT_SENT and not await self._take_retry(job, failure):
             log("retry_denied", request=job.request_id, service=job.service)
             self._metrics.retries.labels("denied").inc()
             await self._responder.give_up(job, "retry_budget", texts.ENDPOINTS_FULL)
             return False
-        self._metrics.retries.labels(again.value).inc()
+        self._metrics.retries.labels(failure.value).inc()
         return True
 
-    async def _take_retry(self, job: Job, again: DispatchFailure) -> bool:
-        """Takes one of the repeats that are allowed; False if there is none in time.
+    async def _take_retry(self, job: Job, failure: DispatchFailure) -> bool:
+        """Takes one retry out of the service's retry budget; False if there is none in time.
 
-        A request that an engine refused for lack of its adapter waits for one: the allowance comes
-        back little by little, and the adapter is on its way.
+        A request that an engine refused because the adapter is not loaded waits for the budget: it
+        refills gradually, and the adapter is being loaded meanwhile.
         """
-        patience = job.request.received + job.route.objective
+        give_up_at = job.request.received + job.route.objective
         while not self._retries.try_spend(job.service, monotonic()):
-            if again is not DispatchFailure.LACKS_ADAPTER or monotonic() > patience:
+            if failure is not DispatchFailure.LACKS_ADAPTER or monotonic() > give_up_at:
                 return False
             await asyncio.sleep(RETRY_POLL_INTERVAL)
         return True
 
-    # One try.
+    # One dispatch.
 
     async def _dispatch(self, job: Job, record: EndpointRecord) -> DispatchFailure | None:
-        """Sends the request to an endpoint; returns None when the caller has its answer."""
+        """Sends the request to an endpoint; returns None when the caller has its response."""
         conn = await self._pools.acquire(record)
         if conn is None:
             self._outcomes.record_unreachable(record)
             log("endpoint_unreachable", "WARNING", endpoint=record.endpoint, request=job.request_id)
             return DispatchFailure.NOT_SENT
-        known = self._endpoints.get(record.endpoint) is record or self._still_ready(record)
-        if not known or not self._outcomes.take_permit(record):
+        still_registered = self._endpoints.get(record.endpoint) is record or self._still_ready(
+            record
+        )
+        if not still_registered or not self._outcomes.take_permit(record):
             self._pools.release_unused(record.endpoint, conn)
             return DispatchFailure.NOT_SENT
-        under = self._begin_dispatch(job, record)
+        in_flight = self._begin_dispatch(job, record)
         try:
-            return await self._exchange(job, record, conn, under)
+            return await self._exchange(job, record, conn, in_flight)
         except ConnectionLost as exc:
             conn.close()
             self._outcomes.record_connection_lost(job, record)
@@ -201,8 +207,8 @@
             self._outcomes.record_abandoned(job, record)
             raise
         finally:
-            self._traffic.end(under)
-            self._outcomes.record_end(under.first_token_wait)
+            self._traffic.end(in_flight)
+            self._outcomes.record_end(in_flight.first_token_wait)
             self._views.wake(record.endpoint)
 
     def _still_ready(self, record: EndpointRecord) -> bool:
@@ -211,50 +217,50 @@
     def _begin_dispatch(self, job: Job, record: EndpointRecord) -> InFlightRequest:
         terms = job.terms
         job.dispatched_at = monotonic()
-        key = self._selector.required_adapter(job) if terms.adapter else None
-        kv = terms.prompt_tokens + EXPECTED_OUTPUT_SHARE * terms.output_tokens
-        expected = self._expected_first_token(job, record) if terms.model else None
-        under = self._traffic.begin(record.endpoint, terms.prompt_tokens, kv, key)
-        under.first_token_wait = self._outcomes.record_send(record, expected)
-        if key is not None:
-            self._load_requests.report_use(record.endpoint, key)
-            self._views.get(record.endpoint).note_sending(key, monotonic())
-        return under
+        adapter = self._selector.required_adapter(job) if terms.adapter else None
+        kv_tokens = terms.prompt_tokens + EXPECTED_OUTPUT_SHARE * terms.output_tokens
+        expected_first_token = self._expected_first_token(job, record) if terms.model else None
+        in_flight = self._traffic.begin(record.endpoint, terms.prompt_tokens, kv_tokens, adapter)
+        in_flight.first_token_wait = self._outcomes.record_send(record, expected_first_token)
+        if adapter is not None:
+            self._load_requests.report_use(record.endpoint, adapter)
+            self._views.get(record.endpoint).note_sending(adapter, monotonic())
+        return in_flight
 
     def _expected_first_token(self, job: Job, record: EndpointRecord) -> float:
-        """Returns the seconds that an engine should take until the first token of a request."""
+        """Returns the expected seconds until an engine sends a request's first token."""
         load = self._traffic.load_at(record.endpoint)
         engine = job.spec.engine if job.spec else None
         batch = engine.batch if engine else record.slots
-        prompt = job.terms.prompt_tokens
-        return expected_first_token(load.waiting_tokens, prompt, load.running, batch)
+        prompt_tokens = job.terms.prompt_tokens
+        return expected_first_token(load.waiting_tokens, prompt_tokens, load.running, batch)
 
     def _encode_request(self, job: Job, record: EndpointRecord) -> bytes:
-        req = job.request
-        engine = bool(job.terms.model)
+        request = job.request
+        to_engine = bool(job.terms.model)
         dispatch = Dispatch(
             record.endpoint,
             max(0.001, job.deadline - monotonic()),
-            job.priority if engine else None,
+            job.priority if to_engine else None,
             self._selector.required_adapter(job).version if job.terms.adapter else 0,
             job.splitter.last_id,
             job.requires_key,
             job.team.name if job.team is not None else "",
         )
-        lines = [f"{req.method} {req.target} HTTP/1.1".encode("latin-1")]
+        lines = [f"{request.method} {request.target} HTTP/1.1".encode("latin-1")]
         lines += [
             name + b": " + value
-            for name, value in self._dialect.endpoint_headers(req.raw_headers, dispatch)
+            for name, value in self._dialect.endpoint_headers(request.raw_headers, dispatch)
         ]
-        if req.body or req.method in ("POST", "PUT", "PATCH"):
-            lines.append(b"Content-Length: %d" % len(req.body))
-        return b"\r\n".join(lines) + b"\r\n\r\n" + req.body
+        if request.body or request.method in ("POST", "PUT", "PATCH"):
+            lines.append(b"Content-Length: %d" % len(request.body))
+        return b"\r\n".join(lines) + b"\r\n\r\n" + request.body
 
     async def _exchange(
-        self, job: Job, record: EndpointRecord, conn: Connection, under: InFlightRequest
+        self, job: Job, record: EndpointRecord, conn: Connection, in_flight: InFlightRequest
     ) -> DispatchFailure | None:
         job.dispatch_count += 1
-        sent, running = monotonic(), self._traffic.load_at(record.endpoint).running
+        sent_at, running = monotonic(), self._traffic.load_at(record.endpoint).running
         log(
             "sent",
             request=job.request_id,
@@ -262,7 +268,7 @@
             endpoint=record.endpoint,
             route=job.route.name,
             adapter=job.terms.adapter,
-            version=under.adapter.version if under.adapter else 0,
+            version=in_flight.adapter.version if in_flight.adapter else 0,
             running=running,
             waited=monotonic() - job.request.received,
         )
@@ -286,16 +292,16 @@
             self._outcomes.record_notice(job, record, notice)
         if verdict in (Verdict.NOT_RUN, Verdict.MISDIRECTED):
             job.may_have_run_on.remove(record.endpoint)
-            return await self._handle_refusal(job, record, conn, under, verdict)
+            return await self._handle_refusal(job, record, conn, in_flight, verdict)
         self._metrics.first_byte.labels(job.route.name).observe(monotonic() - job.request.received)
         if head.status == 200 and (head.get(b"content-type") or b"").startswith(EVENT_STREAM):
-            return await self._forward_stream(job, record, conn, under, head)
+            return await self._forward_stream(job, record, conn, in_flight, head)
         if not job.terms.model:
-            self._selector.record_response_time(job, record, monotonic() - sent, running)
+            self._selector.record_response_time(job, record, monotonic() - sent_at, running)
         return await self._forward_whole(job, record, conn, head, verdict)
 
     def _head_timeout(self, job: Job) -> float | None:
-        """Returns the seconds for the head of an answer; None for all the time that is left."""
+        """Returns the seconds to wait for a response's head; None to wait until the deadline."""
         if not job.may_repeat:
             return None
         return RESPONSE_TIMEOUT_SHARE * job.route.objective
@@ -305,20 +311,23 @@
         job: Job,
         record: EndpointRecord,
         conn: Connection,
-        under: InFlightRequest,
+        in_flight: InFlightRequest,
         verdict: Verdict,
     ) -> DispatchFailure:
         while await conn.read():
             pass
         self._pools.release(record.endpoint, conn)
         self._outcomes.record_refusal(record)
-        if under.adapter is None:
+        if in_flight.adapter is None:
             return DispatchFailure.NOT_RUN
-        # Which of the two it was is not always told: the load may not have ended yet.
+        # The response does not always say whether the adapter is missing: its load may not have
+        # finished yet.
         load_time = self._views.get(record.endpoint).load_time
         pause = max(MIN_MISSING_ADAPTER_PAUSE, MISSING_ADAPTER_LOAD_SHARE * load_time)
-        self._views.note_missing_adapter(record.endpoint, under.adapter, pause)
-        self._load_requests.request_load(record.endpoint, under.adapter, job.priority, missing=True)
+        self._views.note_missing_adapter(record.endpoint, in_flight.adapter, pause)
+        self._load_requests.request_load(
+            record.endpoint, in_flight.adapter, job.priority, missing=True
+        )
         return (
             DispatchFailure.LACKS_ADAPTER
             if verdict is Verdict.MISDIRECTED
@@ -339,7 +348,7 @@
             parts.append(part)
             size += len(part)
             if size > MAX_BODY_BYTES:
-                raise ConnectionLost("the answer is too large")
+                raise ConnectionLost("the response is too large")
         self._pools.release(record.endpoint, conn)
         failed = verdict is not Verdict.ANSWER
         self._outcomes.record_response(job, record, failed)
@@ -361,7 +370,7 @@
         job: Job,
         record: EndpointRecord,
         conn: Connection,
-        under: InFlightRequest,
+        in_flight: InFlightRequest,
         head: ResponseHead,
     ) -> DispatchFailure | None:
         job.splitter.discard_partial()
@@ -372,9 +381,9 @@
             if not data:
                 break
             events = job.splitter.feed(data)
-            if under.unread_tokens and events:
-                self._traffic.first_token(under)
-                self._outcomes.record_first_token(record, under.first_token_wait)
+            if in_flight.unread_tokens and events:
+                self._traffic.first_token(in_flight)
+                self._outcomes.record_first_token(record, in_flight.first_token_wait)
             if events:
                 job.record_events(monotonic())
                 await job.response.write(events)
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/http_server.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/http_server.py
@@ -1,8 +1,9 @@
-"""The callers' door: HTTP by a library, one handler for all paths.
+"""The HTTP server for callers: aiohttp's low-level server with one handler for all paths.
 
-A caller that leaves cancels its handler, and with that the work of the endpoint. An answer that
-can't be completed ends its connection, so that it does not look complete. While the instance shuts
-down, each answer asks the caller to open its next connection elsewhere.
+When a caller disconnects, its handler is cancelled, which also stops the endpoint's work on the
+request. If a response can't be completed, its connection is closed, so that the caller does not
+take it for complete. While the instance shuts down, each response closes its connection, so that
+the caller opens the next one at another instance.
 """
 
 from __future__ import annotations
@@ -24,7 +25,8 @@
 from wigeonarch_gateway.exchange import CallerRequest, ResponseWriter
 from wigeonarch_gateway.ports import Headers
 
-# Longer than any caller reuses an idle connection, in seconds; the configuration bounds that.
+# Seconds for which an idle connection is kept: longer than any caller reuses one, which the
+# configuration bounds.
 KEEP_ALIVE_TIMEOUT: Final = 75.0
 MAX_HEADER_BYTES: Final = 65_536
 LISTEN_BACKLOG: Final = 1_024
@@ -33,33 +35,33 @@
 
 
 class _ResponseWriter:
-    """The answer to one request."""
+    """Sends the response to one request; implements `exchange.ResponseWriter`."""
 
     __slots__ = ("_is_draining", "_request", "_response")
 
-    def __init__(self, request: web.BaseRequest, closing: Callable[[], bool]) -> None:
+    def __init__(self, request: web.BaseRequest, is_draining: Callable[[], bool]) -> None:
         self._request = request
-        self._is_draining = closing
+        self._is_draining = is_draining
         self._response: web.StreamResponse | None = None
 
     @property
     def started(self) -> bool:
-        """Tells whether a part of the answer was sent."""
+        """Tells whether a part of the response was sent."""
         return self._response is not None
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """Returns what the server has to finish."""
+        """Returns the response for aiohttp to finish; None if none was started."""
         return self._response
 
     async def send(self, status: int, headers: Headers, body: bytes) -> None:
-        """Sends a whole answer."""
+        """Sends a complete response."""
         self._response = web.Response(status=status, headers=_header_multidict(headers), body=body)
         await self._prepare()
         await self._response.write_eof()
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Sends the head of an answer whose body follows in parts."""
+        """Sends the head of a response whose body follows in parts."""
         self._response = web.StreamResponse(status=status, headers=_header_multidict(headers))
         await self._prepare()
 
@@ -69,12 +71,12 @@
         await self._response.write(data)
 
     async def finish(self) -> None:
-        """Ends the answer as complete."""
+        """Marks the response as complete."""
         assert self._response is not None
         await self._response.write_eof()
 
     def abort(self) -> None:
-        """Ends the connection, so that the answer does not look complete."""
+        """Closes the connection, so that the caller does not take the response for complete."""
         if self._request.transport is not None:
             self._request.transport.close()
 
@@ -86,17 +88,22 @@
 
 
 class HttpServer:
-    """The server for callers.
+    """The HTTP server for callers.
 
     Attributes:
-        in_progress: Requests that are being answered.
-        closing: Whether callers are asked to go elsewhere.
+        in_progress: Number of requests whose handlers are running.
+        draining: Whether each response closes its connection, so that callers go elsewhere.
     """
 
-    def __init__(self, serve: RequestHandlerFunction, body_most: Callable[[], int]) -> None:
-        """Makes a door; `body_most` returns the largest body that is allowed, in bytes."""
+    def __init__(self, serve: RequestHandlerFunction, max_body_bytes: Callable[[], int]) -> None:
+        """Creates a server that does not listen yet.
+
+        Args:
+            serve: Handles a request and sends its response.
+            max_body_bytes: Returns the largest request body that is allowed, in bytes.
+        """
         self._serve = serve
-        self._max_body_bytes = body_most
+        self._max_body_bytes = max_body_bytes
         self._server: asyncio.Server | None = None
         self._aiohttp_server = web.Server(
             self._handle,
@@ -113,48 +120,48 @@
         self.draining = False
 
     async def listen(self, host: str, port: int) -> None:
-        """Listens for callers."""
+        """Starts to accept connections."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             self._aiohttp_server, host, port, backlog=LISTEN_BACKLOG
         )
 
     def stop_accepting(self) -> None:
-        """Takes no new callers and ends each open connection as soon as it is idle."""
+        """Stops accepting connections and closes each open one as soon as it is idle."""
         if self._server is not None:
             self._server.close()
         for conn in list(self._aiohttp_server.connections):
-            # A request that was parsed but not begun is in the connection's queue, which has no
-            # public name; ending such a connection would cut a request off.
+            # A request that was parsed but not yet handled is in the connection's queue, for which
+            # aiohttp has no public name. Closing such a connection would abort the request.
             if conn in self._busy_connections or conn._messages:
                 conn.close()
             else:
                 conn.force_close()
 
     async def close(self) -> None:
-        """Stops listening and ends what is still open."""
+        """Stops listening and closes the connections that are still open."""
         if self._server is not None:
             self._server.close()
         await self._aiohttp_server.shutdown(0.2)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         received = monotonic()
-        reply = _ResponseWriter(request, lambda: self.draining)
+        response = _ResponseWriter(request, lambda: self.draining)
         self.in_progress += 1
         try:
             body = await self._read_body(request)
             if body is None:
-                await reply.send(413, [], texts.BODY_TOO_LARGE.encode())
+                await response.send(413, [], texts.BODY_TOO_LARGE.encode())
             else:
-                await self._serve(_caller_request(request, body, received), reply)
+                await self._serve(_caller_request(request, body, received), response)
         except (ConnectionError, RuntimeError) as exc:
-            # The caller's connection ended while its answer was written.
+            # The caller's connection closed while the response was being written.
             log("caller_gone", "DEBUG", reason=repr(exc))
-            reply.abort()
+            response.abort()
         finally:
             self.in_progress -= 1
             self._busy_connections.discard(request.protocol)
-        return reply.response or web.Response(status=500)
+        return response.response or web.Response(status=500)
 
     def _make_request(
         self,
@@ -169,7 +176,7 @@
         return web.BaseRequest(message, payload, protocol, writer, task, loop)
 
     async def _read_body(self, request: web.BaseRequest) -> bytes | None:
-        """Returns the whole body, or None when it is too large."""
+        """Returns the complete body, or None when it is too large."""
         if request.headers.get("Expect", "").lower() == "100-continue" and request.transport:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         if not request.body_exists:
@@ -200,7 +207,7 @@
 
 
 def _header_multidict(headers: Headers) -> CIMultiDict[str]:
-    found: CIMultiDict[str] = CIMultiDict()
+    decoded: CIMultiDict[str] = CIMultiDict()
     for name, value in headers:
-        found.add(name.decode("latin-1"), value.decode("latin-1"))
-    return found
+        decoded.add(name.decode("latin-1"), value.decode("latin-1"))
+    return decoded
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/instrumented_store.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/instrumented_store.py
@@ -1,7 +1,8 @@
-"""Counts the calls to the store by kind and result, and notes when it answered.
+"""A wrapper around any object store that counts calls by kind and result and records contact.
 
-Whatever implements the store. An answer counts as of its receipt: the store gave it later than the
-call began. One that may be some seconds old says nothing of the store now.
+The time of the last contact with the store is that at which a response was received: the store
+gave the response after the call began. A list that may be some seconds old (`stale`) proves no
+contact, as it says nothing of the store's present state.
 """
 
 from __future__ import annotations
@@ -31,10 +32,10 @@
 
 
 class InstrumentedStore:
-    """A store whose calls are counted.
+    """An `ObjectStore` that counts its calls and records when the store responded.
 
     Attributes:
-        calls: Calls so far, by kind.
+        calls: Number of calls so far, by kind.
     """
 
     __slots__ = ("_contact", "_era", "_metrics", "_store", "calls")
@@ -48,12 +49,14 @@
 
     @property
     def era(self) -> int | None:
-        """Returns the latest era of the store; None before its first answer."""
+        """Returns the latest era of the store; None before its first response."""
         return self._store.era
 
     async def list(self, kind: ObjectKind, stale: bool = False) -> Listing | Unavailable:
         """Returns all objects of a kind."""
-        return await self._instrument("list", self._store.list(kind, stale), telling=not stale)
+        return await self._instrument(
+            "list", self._store.list(kind, stale), proves_contact=not stale
+        )
 
     async def watch(
         self, kind: ObjectKind, since: int, wait: float
@@ -68,7 +71,7 @@
     async def create(
         self, kind: ObjectKind, name: str, spec: Any
     ) -> StoredObject | Conflict | Unavailable:
-        """Makes an object that must not exist."""
+        """Creates an object that must not exist."""
         return await self._instrument("create", self._store.create(kind, name, spec))
 
     async def replace(
@@ -80,22 +83,30 @@
     async def remove(self, kind: ObjectKind, name: str, revision: int) -> bool:
         """Removes an object that must have the given revision."""
         return await self._instrument(
-            "remove", self._store.remove(kind, name, revision), telling=False
+            "remove", self._store.remove(kind, name, revision), proves_contact=False
         )
 
     async def close(self) -> None:
-        """Closes the connections."""
+        """Closes the connections to the store."""
         await self._store.close()
 
-    async def _instrument(self, call: str, made: Awaitable[Result], telling: bool = True) -> Result:
-        """Makes a call; `telling` when its result tells whether the store answers now."""
+    async def _instrument(
+        self, call: str, result_of: Awaitable[Result], proves_contact: bool = True
+    ) -> Result:
+        """Awaits a call and records its result.
+
+        Args:
+            call: Kind of the call.
+            result_of: The call.
+            proves_contact: Whether a response shows that the store can be reached now.
+        """
         self.calls[call] += 1
         began = monotonic()
-        result = await made
+        result = await result_of
         self._check_era()
         if isinstance(result, Unavailable):
             self._contact.record_failure(began)
-        elif telling:
+        elif proves_contact:
             self._contact.record_answer(monotonic())
         self._metrics.store_calls.labels(call, type(result).__name__.lower()).inc()
         return result
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/jobs.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/jobs.py
@@ -1,4 +1,4 @@
-"""A request on its way, and what a try says about another one."""
+"""The state of a request in progress, and the ways in which a dispatch can fail."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class DispatchFailure(enum.Enum):
-    """What a try says about another one."""
+    """Why a dispatch gave no response for the caller; decides whether it may be retried."""
 
-    NOT_SENT = "not_sent"  # There was no way to the endpoint.
-    NOT_RUN = "not_run"  # The endpoint did not run it.
-    LACKS_ADAPTER = "lacks_adapter"  # It did not run it for lack of the adapter.
-    LOST = "lost"  # It may have run: no answer, or only a part.
-    SILENT = "silent"  # It may have run: the endpoint did not answer in the time for one try.
-    FAILED = "failed"  # It ran and failed, or the answer can't be passed on.
+    NOT_SENT = "not_sent"  # Nothing was sent: no connection, or the endpoint takes no request now.
+    NOT_RUN = "not_run"  # The endpoint refused the request without running it.
+    LACKS_ADAPTER = "lacks_adapter"  # The endpoint refused it because the adapter is not loaded.
+    LOST = "lost"  # The request may have run: the response is missing or incomplete.
+    SILENT = "silent"  # The request may have run: no response within the timeout of a dispatch.
+    FAILED = "failed"  # The request ran and failed, or its response can't be forwarded.
 
 
 MAY_HAVE_RUN: Final = frozenset(
@@ -32,32 +32,34 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request on its way.
+    """A request in progress. All times are in seconds of the monotonic clock.
 
     Attributes:
-        req: What the caller sent.
+        request: The request that the caller sent.
         terms: What its headers ask for.
-        answer: Where the answer goes.
-        route: Its route.
-        service: Service that serves it.
-        content: Key of what it asks for, the same for each attempt of its caller.
-        deadline: Time at which its answer is of no use or the route allows no more.
-        spec: The service.
-        sends: Sends so far.
-        sent_at: Time of the last one, in seconds.
-        ran: Endpoints at which it may have run, in order of the sends.
-        refused: Sends that were refused.
-        avoid: Endpoints that it should not be sent to again.
-        splitter: Events passed on so far.
-        stored: A failure of an endpoint that is passed on if nothing better comes.
-        wished: Engine that was last asked for a load; empty if none was.
-        wished_at: When that was, in seconds.
-        waited: Seconds for which an endpoint was looked for.
-        first_event: Time of the first event that was passed on, in seconds; 0 before.
-        last_event: The same for the last one.
-        pause: Longest pause between events so far, in seconds.
-        keyed: Whether callers show keys.
-        team: Team for which it is made; None for none.
+        response: Sends the response to the caller.
+        route: The route that it matched.
+        service: Name of the service that serves it.
+        content_key: Hash of method, host, target and body: the same each time that a caller
+            repeats the request.
+        deadline: Time after which a response is of no use to the caller, or the route's timeout.
+        spec: Specification of the service; None if the configuration has none.
+        dispatch_count: Number of dispatches so far.
+        dispatched_at: Time of the last dispatch.
+        may_have_run_on: Endpoints on which it may have run, in order of dispatch.
+        refusal_count: Number of dispatches after which it certainly had not run.
+        avoided_endpoints: Endpoints to which it should not be sent again.
+        splitter: Splits the event stream and counts the events that were forwarded.
+        failure_response: Failure response of an endpoint, which is forwarded if no later dispatch
+            does better.
+        load_requested_from: Engine that was last asked to load the adapter; empty if none was.
+        load_requested_at: Time of that load request.
+        selection_time: Seconds spent so far on waiting for an endpoint.
+        first_event_at: Time at which the first event was forwarded; 0 before.
+        last_event_at: Time at which the last event was forwarded; 0 before the first.
+        longest_pause: Longest time between two events so far, in seconds.
+        requires_key: Whether the configuration asks callers for API keys.
+        team: Team whose API key the request carries; None if there is none.
     """
 
     request: CallerRequest
@@ -85,7 +87,7 @@
     team: Team | None = None
 
     def record_events(self, now: float) -> None:
-        """Notes that events were passed on."""
+        """Records that events were forwarded to the caller."""
         if self.first_event_at:
             self.longest_pause = max(self.longest_pause, now - self.last_event_at)
         else:
@@ -94,18 +96,18 @@
 
     @property
     def request_id(self) -> str:
-        """Returns the id for the log."""
+        """Returns the request's id, which log lines carry."""
         return self.terms.request_id
 
     @property
     def priority(self) -> int:
-        """Returns its rank: its team's, or else its route's."""
+        """Returns the priority of the request's team, or else that of its route."""
         if self.team is not None and self.team.priority is not None:
             return self.team.priority
         return self.route.priority
 
     @property
     def may_repeat(self) -> bool:
-        """Tells whether it may be sent again although it may have run."""
+        """Tells whether the request may be sent again although it may have run."""
         repeatable = self.route.repeatable or self.route.resumable
         return repeatable and len(set(self.may_have_run_on)) < self.route.attempts
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/leasing.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/leasing.py
@@ -1,9 +1,10 @@
-"""This instance's lease in the store, renewed here or by a peer, or extended by promises.
+"""Keeps this instance's lease in the store renewed, or extended by promises of its peers.
 
-An instance that can't renew asks its peers: one that reaches the store renews in its name, and all
-promise to take nothing over for a term. With the promises of each that could take over, the lease
-goes on. What it is worth counts from the moment of asking, so an answer that comes late, or was
-lost, extends nothing that it shouldn't.
+An instance that can't renew its lease asks its peers for support. A peer that reaches the store
+renews the lease on its behalf, and all peers promise not to take over its endpoints for one lease
+term. With a promise of every instance that could take over, the lease stays in force. An extension
+counts from the moment of the request, so a reply that is late or lost never extends the lease
+beyond what the peers promised.
 """
 
 from __future__ import annotations
@@ -32,24 +33,24 @@
 )
 from wigeonarch_gateway.suspects import CrashesByContent
 
-# Seconds without an answer to a renewal after which peers are asked; the store usually takes a few
-# milliseconds, and a lost answer is known as such only by the call's own, longer time limit.
+# Seconds without an answer to a renewal after which peers are asked for support. The store usually
+# answers within a few milliseconds, and the call's own timeout, which detects a lost answer, is
+# longer.
 PEER_REQUEST_DELAY: Final = 0.3
-# Seconds between renewals by an instance that orders nothing: others find its address by the lease,
-# and it is that of a process that lives.
+# Seconds between renewals by an instance that owns no endpoint. It still renews so that others find
+# its address by the lease and see that its process is alive.
 IDLE_RENEWAL_INTERVAL: Final = 25.0
-MIN_RENEWAL_INTERVAL: Final = (
-    0.25  # Seconds between renewals at least, however much there is to keep.
-)
+# Seconds between renewals at least, however often there is something new to store.
+MIN_RENEWAL_INTERVAL: Final = 0.25
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """An instance.
+    """The identity of this instance.
 
     Attributes:
-        name: Its name, kept over restarts.
+        name: Its name, which stays the same across restarts.
         incarnation: Incarnation of its process.
-        address: Address for messages to it.
+        address: Its address for messages.
         zone: Its availability zone.
     """
 
@@ -60,11 +61,11 @@
 
 
 class CrashMemory(msgspec.Struct, frozen=True):
-    """What a lease keeps besides: requests under which several endpoints ended.
+    """Access to the requests that crashed several endpoints, which the lease object stores, too.
 
     Attributes:
-        notable: Returns what is to be kept.
-        read: Takes over what the last incarnation's lease kept.
+        crashes: Returns the requests and crashes to store.
+        restore: Takes over those that the last incarnation's lease stored.
     """
 
     crashes: Callable[[], CrashesByContent]
@@ -72,10 +73,10 @@
 
 
 class OwnLease:
-    """The own lease.
+    """This instance's lease.
 
     Attributes:
-        lease: What may be relied on.
+        lease: Tells whether the lease is in force, and until when.
     """
 
     __slots__ = (
@@ -107,17 +108,18 @@
         listed_revision: Callable[[], Awaitable[int]],
         memory: CrashMemory,
     ) -> None:
-        """Makes a lease that does not hold yet.
+        """Creates a lease that is not in force yet.
 
         Args:
             store: The store.
-            opts: Times.
+            opts: Lease times.
             me: This instance.
-            plead: Sends a plea to all peers.
-            rivals: Returns the instances that could take over from this one.
-            needed: Tells whether this instance orders endpoints, or may have to.
-            last_seen: Returns the revision of the lease by a list that may be old; 0 without one.
-            memory: What the lease keeps for the instances that come after.
+            request_support: Sends a request for lease support to all peers.
+            possible_successors: Returns the instances that could take over from this one.
+            is_needed: Tells whether this instance owns endpoints, or may have to.
+            listed_revision: Returns the revision of the lease according to a list that may be
+                old; 0 if it has none.
+            memory: Requests that crashed several endpoints, stored for later incarnations.
         """
         self._store = store
         self._opts = opts
@@ -132,32 +134,32 @@
         self._revision = 0
         self._logged_as_held = False
         self._urgent = asyncio.Event()
-        self._revision_conflict = False  # Whether the last write was refused for another one's.
+        self._revision_conflict = False  # Whether the last write was refused for its revision.
         self.lease = HeldLease(opts.term, opts.margin)
 
     async def keep_renewed(self) -> None:
         """Renews the lease; runs until cancelled.
 
-        While it is of no use, it is renewed only now and then, for its address, and when it has to
-        keep something new.
+        A lease that is not needed is renewed only every `IDLE_RENEWAL_INTERVAL`, to publish this
+        instance's address, and when it has something new to store.
         """
         began = float("-inf")
         urgent = False
         self._revision = await self._listed_revision()
         while True:
             urgent = urgent or self._urgent.is_set()
-            rests = not self._is_needed() and monotonic() - began < IDLE_RENEWAL_INTERVAL
-            if rests and not urgent:
+            idle = not self._is_needed() and monotonic() - began < IDLE_RENEWAL_INTERVAL
+            if idle and not urgent:
                 await self._wait_unless_urgent(self._opts.renewal / 4)
                 continue
             began = monotonic()
             self._urgent.clear()
-            asking = asyncio.get_running_loop().call_later(
+            peer_request = asyncio.get_running_loop().call_later(
                 PEER_REQUEST_DELAY, self._ask_peers_for_support
             )
             ok = await self._renew()
             urgent = urgent and not ok
-            asking.cancel()
+            peer_request.cancel()
             self._log_transitions()
             if not ok:
                 self._ask_peers_for_support()
@@ -166,17 +168,17 @@
             await self._wait_unless_urgent(max(0.0, began + pause - monotonic()))
 
     async def _wait_unless_urgent(self, seconds: float) -> None:
-        """Waits, unless the lease has to keep something new."""
+        """Waits, but not longer than until the lease has something new to store."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._urgent.wait()
 
     def renew_soon(self) -> None:
-        """Has the lease renewed at once, as it has to keep something new."""
+        """Requests a renewal at once, because the lease has something new to store."""
         self._urgent.set()
 
     async def watch_clock(self) -> None:
-        """Notices pauses of the process; runs until cancelled."""
+        """Detects pauses of the process and the end of the lease; runs until cancelled."""
         while True:
             paused = self.lease.record_running(monotonic())
             if paused:
@@ -185,16 +187,16 @@
             await asyncio.sleep(self._opts.margin / 4)
 
     def note_peer_renewal(self, done: LeaseRenewed) -> None:
-        """Takes over a renewal that a peer made in this instance's name."""
-        asked = self._promises.sent_at(done.number)
-        if asked is None or done.revision <= self._revision:
+        """Applies a renewal that a peer made on behalf of this instance."""
+        requested_at = self._promises.sent_at(done.number)
+        if requested_at is None or done.revision <= self._revision:
             return
         self._revision = done.revision
-        self.lease.record_renewal(asked, done.revision, monotonic())
+        self.lease.record_renewal(requested_at, done.revision, monotonic())
         log("lease_renewed_by_peer", peer=done.sender)
 
     def note_promise(self, promise: LeaseSupportPromise) -> None:
-        """Takes over a peer's promise; it counts once all that could take over have given one."""
+        """Applies a peer's promise, which counts once all possible successors have given one."""
         self._promises.record_promise(promise.sender, promise.number)
         now = monotonic()
         since = self._promises.supported_since(self._possible_successors(), now)
@@ -202,7 +204,7 @@
             self.lease.record_promises(since, now)
 
     def revision(self) -> int:
-        """Returns the revision of the lease, to tell peers."""
+        """Returns the revision of the lease, which heartbeats report to peers."""
         return self._revision
 
     def _log_transitions(self) -> None:
@@ -220,7 +222,7 @@
         self._request_support(LeaseSupportRequest(self._me.name, self._me.incarnation, number))
 
     async def _renew(self) -> bool:
-        """Renews the lease; a revision that was wrong is read, and the lease written again."""
+        """Renews the lease; after a conflict it reads the revision and writes once more."""
         if await self._write():
             return True
         return self._revision_conflict and await self._read_revision() and await self._write()
@@ -231,8 +233,8 @@
         self.lease.record_attempt(sent)
         self._renewal_count += 1
         me = self._me
-        notable = self._crash_memory.crashes()
-        lease = LeaseContent(me.address, me.zone, me.incarnation, self._renewal_count, notable)
+        crashes = self._crash_memory.crashes()
+        lease = LeaseContent(me.address, me.zone, me.incarnation, self._renewal_count, crashes)
         spec = content(lease)
         result: StoredObject | Absent | Conflict | Unavailable
         if self._revision:
@@ -249,7 +251,7 @@
         return False
 
     async def _read_revision(self) -> bool:
-        """Finds the revision; returns whether the lease can be written now."""
+        """Reads the lease's revision; returns whether the lease can be written now."""
         result = await self._store.get(ObjectKind.LEASES, self._me.name)
         if isinstance(result, Unavailable):
             return False
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/limits.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/limits.py
@@ -1,15 +1,16 @@
-"""Rates that endpoints name, and the permits with which instances together keep to them.
-
-An endpoint in need names in its answers how many requests a second it takes from all instances
-together. Whoever reads it tells all. From then on a request goes there only with a permit. One
-instance, the endpoint's limiter, gives them: all find it by the same hash of those they hear. The
-others ask it beforehand, as a request that could go there looks for an endpoint; nobody waits for
-the answer, as most requests can go elsewhere. Without a permit the endpoint is passed over, so a
-limiter that is lost or cut off costs the endpoint its work and never gives it more.
-
-The limit is over when an answer to a request that was sent after it was named names none, or when
-the endpoint starts again. An endpoint whose entry is away for a moment still has it, so it is kept
-for a while after the endpoint seems gone.
+"""Rate limits that endpoints state, and the permits with which all instances together keep them.
+
+An overloaded endpoint states in its responses how many requests a second it takes from all
+instances together. The instance that reads this first notifies all others. From then on a request
+is sent there only with a permit. Permits are granted by one instance, the endpoint's limiter, which
+all instances determine by the same hash over the peers that they hear. The others request permits
+in advance, whenever a request that could go to the endpoint is looking for one. Nobody waits for
+the reply, as most requests can go elsewhere. Without a permit the endpoint is skipped, so a limiter
+that crashed or is cut off may leave the endpoint idle, but never overloads it.
+
+A limit ends when a response to a request that was sent after the limit became known states none,
+or when the endpoint restarts. An endpoint whose entry is missing for a moment still has its limit,
+so the limit is kept for a while after the endpoint seems gone.
 """
 
 from __future__ import annotations
@@ -27,32 +28,31 @@
 from wigeonarch_gateway.metrics import Metrics
 from wigeonarch_gateway.ports import EndpointRecord
 
-# Seconds without an answer after which a permit is asked for again, at this or another instance.
+# Seconds without a reply after which a permit is requested again, from the same or another limiter.
 REPLY_TIMEOUT: Final = 0.3
-# Seconds for which a request that can go nowhere else waits for the answer.
+# Seconds for which a request that can go nowhere else waits for the reply.
 EXPECTED_REPLY_TIME: Final = 0.06
-WRONG_LIMITER_RETRY_AFTER: Final = 0.1  # Seconds after which to ask again who was asked in vain.
-LIMITER_HINT_TTL: Final = (
-    2.0  # Seconds for which another instance's word of who is the limiter holds.
-)
-GONE_ENDPOINT_TTL: Final = (
-    60.0  # Seconds for which the limit of an endpoint that seems gone is kept.
-)
-FIRST_NUMBER_BOUND: Final = 1 << 40  # Numbers of questions begin at random below this.
+# Seconds after which to request a permit again if the receiver was not the limiter.
+WRONG_LIMITER_RETRY_AFTER: Final = 0.1
+# Seconds for which another instance's hint at the limiter is followed.
+LIMITER_HINT_TTL: Final = 2.0
+# Seconds for which the limit of an endpoint that seems gone is kept.
+GONE_ENDPOINT_TTL: Final = 60.0
+FIRST_NUMBER_BOUND: Final = 1 << 40  # Request numbers start at a random value below this.
 
 
 @dataclass(slots=True)
 class _EndpointLimit:
-    """An endpoint with a limit.
+    """The limit of an endpoint. All times are in seconds of the monotonic clock.
 
     Attributes:
         rate: Requests a second.
-        named: Time at which this instance first heard of the limit.
-        permits: Times at which permits were asked for that are not used yet.
-        asked: Time of the question that is open; None for none.
-        number: Its number.
-        closed_until: Time until which there is no permit, by the limiter's word.
-        hint: Limiter by another instance's word, and the time until which that counts.
+        known_since: Time at which this instance first learned of the limit.
+        permits: Unused permits, each by the time at which it was requested.
+        requested_at: Time of the pending permit request; None if there is none.
+        request_number: Number of that request.
+        denied_until: Time until which the limiter has no permit.
+        hint: Limiter named by another instance, and the time until which the hint is followed.
     """
 
     rate: float
@@ -65,7 +65,7 @@
 
 
 class EndpointLimits:
-    """The limits of endpoints, as this instance knows them."""
+    """The rate limits of endpoints that this instance knows, and permits to send there."""
 
     __slots__ = (
         "_buckets",
@@ -81,54 +81,63 @@
 
     def __init__(
         self,
-        me: str,
+        instance: str,
         limiter: Callable[[str], str],
         send: Callable[[str, Message], bool],
         send_all: Callable[[Message], None],
         metrics: Metrics,
     ) -> None:
-        """Knows no limit.
+        """Creates the limits; none is known at first.
 
         Args:
-            me: Name of this instance.
-            limiter: Returns the instance that gives permits for an endpoint.
+            instance: Name of this instance.
+            limiter: Returns the instance that grants permits for an endpoint.
             send: Sends a message to an instance.
             send_all: Sends a message to all instances.
             metrics: Counters.
         """
-        self._instance = me
+        self._instance = instance
         self._limiter = limiter
         self._send = send
         self._send_all = send_all
         self._metrics = metrics
         self._limited: dict[str, _EndpointLimit] = {}
         self._buckets: dict[str, PermitBucket] = {}
-        self._gone_since: dict[str, float] = (
-            {}
-        )  # Endpoints with a limit that seem gone, and since when.
+        # Endpoints with a limit that seem gone, and since when.
+        self._gone_since: dict[str, float] = {}
         self._request_number = random.randrange(FIRST_NUMBER_BOUND)
 
-    # What answers and others say of limits.
+    # Limits that responses state and other instances report.
 
-    def record_limit(self, record: EndpointRecord, rate: float | None, sent: float) -> None:
-        """Notes what an answer says to a request that was sent at a time; None is no limit."""
-        before = self._limited.get(record.endpoint)
-        if rate is None and (before is None or sent <= before.known_since):
+    def record_limit(self, record: EndpointRecord, rate: float | None, sent_at: float) -> None:
+        """Records the limit that a response states, and notifies all instances of a change.
+
+        Args:
+            record: The endpoint.
+            rate: Requests a second; None if the response states no limit.
+            sent_at: Time at which the request was sent, in seconds.
+        """
+        limit = self._limited.get(record.endpoint)
+        if rate is None and (limit is None or sent_at <= limit.known_since):
             return
         if self._update(record.endpoint, rate):
             self._send_all(RateLimitUpdate(self._instance, record.endpoint, rate))
 
     def receive_limit(self, message: RateLimitUpdate) -> None:
-        """Takes over what another instance read."""
+        """Takes over a limit that another instance read."""
         self._update(message.endpoint, message.rate)
 
     def endpoint_gone(self, endpoint: str) -> None:
-        """Notes that an endpoint seems gone."""
+        """Records that an endpoint seems gone."""
         if endpoint in self._limited:
             self._gone_since[endpoint] = monotonic()
 
     def expire(self, is_known: Callable[[str], bool]) -> None:
-        """Forgets the limits of endpoints that stayed away."""
+        """Forgets the limits of endpoints that did not come back.
+
+        Args:
+            is_known: Tells whether an endpoint is known at present.
+        """
         for endpoint, since in list(self._gone_since.items()):
             if is_known(endpoint):
                 del self._gone_since[endpoint]
@@ -136,31 +145,31 @@
                 self.forget(endpoint)
 
     def forget(self, endpoint: str) -> None:
-        """Forgets an endpoint that started again or is gone for good."""
+        """Forgets the limit of an endpoint that restarted or is gone for good."""
         self._gone_since.pop(endpoint, None)
         self._limited.pop(endpoint, None)
         self._buckets.pop(endpoint, None)
 
     def _update(self, endpoint: str, rate: float | None) -> bool:
-        """Takes over a limit, or that there is none; returns whether that is news."""
-        limited = self._limited.get(endpoint)
-        before = None if limited is None else limited.rate
-        if rate == before:
+        """Sets or removes a limit; returns whether it changed."""
+        limit = self._limited.get(endpoint)
+        rate_before = None if limit is None else limit.rate
+        if rate == rate_before:
             return False
-        log("limit_named", endpoint=endpoint, rate=rate, before=before)
+        log("limit_named", endpoint=endpoint, rate=rate, before=rate_before)
         if rate is None:
             self.forget(endpoint)
             return True
-        if limited is None:
+        if limit is None:
             self._limited[endpoint] = _EndpointLimit(rate, monotonic())
         else:
-            limited.rate = rate
+            limit.rate = rate
         bucket = self._buckets.get(endpoint)
         if bucket is not None:
             bucket.set_rate(rate, monotonic())
         return True
 
-    # Before and as a request is sent.
+    # Permits for requests of this instance.
 
     @property
     def any_limited(self) -> bool:
@@ -168,45 +177,45 @@
         return bool(self._limited)
 
     def permit_wait(self, endpoint: str, now: float) -> float:
-        """Returns the seconds until a request may go to an endpoint, as expected; 0 for now.
+        """Returns the expected seconds until a request may be sent to an endpoint; 0 for now.
 
-        Where a permit is needed and none is known to be far, it is asked for.
+        If a permit is needed and the limiter has not denied it for now, it is requested.
         """
-        limited = self._limited.get(endpoint)
-        if limited is None:
+        limit = self._limited.get(endpoint)
+        if limit is None:
             return 0.0
-        limiter = self._limiter_of(endpoint, limited, now)
+        limiter = self._limiter_of(endpoint, limit, now)
         if limiter == self._instance:
-            return self._bucket(endpoint, limited.rate, now).seconds_until_permit(now)
-        limited.permits = [at for at in limited.permits if now - at < PERMIT_LIFETIME]
-        if limited.permits:
+            return self._bucket(endpoint, limit.rate, now).seconds_until_permit(now)
+        limit.permits = [at for at in limit.permits if now - at < PERMIT_LIFETIME]
+        if limit.permits:
             return 0.0
-        if now < limited.denied_until:
-            return limited.denied_until - now
-        self._request_permit(endpoint, limiter, limited, now)
-        assert limited.requested_at is not None
-        waited = now - limited.requested_at
+        if now < limit.denied_until:
+            return limit.denied_until - now
+        self._request_permit(endpoint, limiter, limit, now)
+        assert limit.requested_at is not None
+        waited = now - limit.requested_at
         return EXPECTED_REPLY_TIME if waited < EXPECTED_REPLY_TIME else REPLY_TIMEOUT - waited
 
     def take_permit(self, endpoint: str, now: float) -> bool:
-        """Uses a permit for a request that is about to be sent; False when there is none."""
-        limited = self._limited.get(endpoint)
-        if limited is None:
+        """Uses up a permit for a request that is about to be sent; False if there is none."""
+        limit = self._limited.get(endpoint)
+        if limit is None:
             return True
-        spent = self._take_permit(endpoint, limited, now)
+        spent = self._take_permit(endpoint, limit, now)
         self._metrics.permits.labels("used" if spent else "lacked").inc()
         return spent
 
-    def _take_permit(self, endpoint: str, limited: _EndpointLimit, now: float) -> bool:
-        if self._limiter_of(endpoint, limited, now) == self._instance:
-            return self._bucket(endpoint, limited.rate, now).take(now)
-        while limited.permits:
-            if now - limited.permits.pop(0) < PERMIT_LIFETIME:
+    def _take_permit(self, endpoint: str, limit: _EndpointLimit, now: float) -> bool:
+        if self._limiter_of(endpoint, limit, now) == self._instance:
+            return self._bucket(endpoint, limit.rate, now).take(now)
+        while limit.permits:
+            if now - limit.permits.pop(0) < PERMIT_LIFETIME:
                 return True
         return False
 
-    def _limiter_of(self, endpoint: str, limited: _EndpointLimit, now: float) -> str:
-        name, until = limited.hint
+    def _limiter_of(self, endpoint: str, limit: _EndpointLimit, now: float) -> str:
+        name, until = limit.hint
         return name if name and now < until else self._limiter(endpoint)
 
     def _bucket(self, endpoint: str, rate: float, now: float) -> PermitBucket:
@@ -215,54 +224,51 @@
         return self._buckets[endpoint]
 
     def _request_permit(
-        self, endpoint: str, limiter: str, limited: _EndpointLimit, now: float
+        self, endpoint: str, limiter: str, limit: _EndpointLimit, now: float
     ) -> None:
-        if limited.requested_at is not None and now - limited.requested_at < REPLY_TIMEOUT:
+        if limit.requested_at is not None and now - limit.requested_at < REPLY_TIMEOUT:
             return
         self._request_number += 1
-        limited.requested_at, limited.request_number = now, self._request_number
+        limit.requested_at, limit.request_number = now, self._request_number
         self._send(limiter, PermitRequest(self._instance, endpoint, self._request_number))
 
-    # The limiter's side, and its answers.
+    # The limiter's side, and its replies.
 
-    def receive_request(self, ask: PermitRequest) -> None:
-        """Gives a permit, or says when to ask again and whom."""
+    def receive_request(self, request: PermitRequest) -> None:
+        """Replies with a permit, or with when and from whom to request it again."""
         now = monotonic()
-        limited = self._limited.get(ask.endpoint)
-        if limited is None:
-            # The limit is over, or this instance has not heard of it, and the answer will tell.
-            self._reply(ask, True, 0.0, self._instance)
+        limit = self._limited.get(request.endpoint)
+        if limit is None:
+            # The limit has ended, or this instance does not know it yet; if it still applies, the
+            # endpoint's response will state it.
+            self._reply(request, True, 0.0, self._instance)
             return
-        limiter = self._limiter(ask.endpoint)
+        limiter = self._limiter(request.endpoint)
         if limiter != self._instance:
-            self._reply(ask, False, WRONG_LIMITER_RETRY_AFTER, limiter)
+            self._reply(request, False, WRONG_LIMITER_RETRY_AFTER, limiter)
             return
-        bucket = self._bucket(ask.endpoint, limited.rate, now)
+        bucket = self._bucket(request.endpoint, limit.rate, now)
         granted = bucket.take(now)
         self._reply(
-            ask, granted, 0.0 if granted else bucket.seconds_until_permit(now), self._instance
+            request, granted, 0.0 if granted else bucket.seconds_until_permit(now), self._instance
         )
 
-    def _reply(self, ask: PermitRequest, granted: bool, wait: float, limiter: str) -> None:
-        answer = PermitReply(
-            self._instance, ask.endpoint, ask.number, granted, int(wait * 1000), limiter
+    def _reply(self, request: PermitRequest, granted: bool, wait: float, limiter: str) -> None:
+        reply = PermitReply(
+            self._instance, request.endpoint, request.number, granted, int(wait * 1000), limiter
         )
-        self._send(ask.sender, answer)
-
-    def receive_reply(self, answer: PermitReply) -> None:
-        """Takes over what the limiter says; a permit counts from the question for it."""
-        limited = self._limited.get(answer.endpoint)
-        if (
-            limited is None
-            or answer.number != limited.request_number
-            or limited.requested_at is None
-        ):
+        self._send(request.sender, reply)
+
+    def receive_reply(self, reply: PermitReply) -> None:
+        """Takes over the limiter's reply; a permit is valid from the time it was requested."""
+        limit = self._limited.get(reply.endpoint)
+        if limit is None or reply.number != limit.request_number or limit.requested_at is None:
             return
         now = monotonic()
-        if answer.granted:
-            limited.permits.append(limited.requested_at)
+        if reply.granted:
+            limit.permits.append(limit.requested_at)
         else:
-            limited.denied_until = now + answer.wait_ms / 1000
-        if answer.limiter not in (answer.sender, self._instance):
-            limited.hint = answer.limiter, now + LIMITER_HINT_TTL
-        limited.requested_at = None
+            limit.denied_until = now + reply.wait_ms / 1000
+        if reply.limiter not in (reply.sender, self._instance):
+            limit.hint = reply.limiter, now + LIMITER_HINT_TTL
+        limit.requested_at = None
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/load_requests.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/load_requests.py
@@ -1,6 +1,7 @@
-"""Wishes for adapters and notes of their use, sent to the holder of the engine.
+"""Sends load requests and notes of adapter use to the owner of an engine.
 
-Many requests may want one adapter at once; their wishes go out together, a few times a second.
+Many requests may need the same adapter at once. One load request is sent for all of them, and is
+repeated a few times per second while it is needed.
 """
 
 from __future__ import annotations
@@ -15,14 +16,13 @@
 from wigeonarch_gateway.engineviews import EngineViews, to_adapter
 from wigeonarch_gateway.messages import AdapterUse, LoadRequest, Message
 
-REPEAT_INTERVAL: Final = (
-    0.15  # Seconds until a wish is sent again; a lost message costs no more than that.
-)
-MAX_REMEMBERED: Final = 500
+# Seconds until a load request is sent again, which is also the delay caused by a lost message.
+REPEAT_INTERVAL: Final = 0.15
+MAX_REMEMBERED: Final = 500  # Load requests whose times are kept before old ones are dropped.
 
 
 class LoadRequests:
-    """What this instance asks holders for."""
+    """Asks the owners of engines for adapters."""
 
     __slots__ = ("_me", "_ownership", "_send", "_sent", "_views")
 
@@ -40,28 +40,36 @@
         self._sent: dict[tuple[str, AdapterKey], float] = {}
 
     def request_load(self, endpoint: str, key: AdapterKey, priority: int, missing: bool) -> None:
-        """Asks the holder of an engine for an adapter."""
+        """Asks the owner of an engine to load an adapter.
+
+        Args:
+            endpoint: The engine.
+            key: The adapter.
+            priority: Rank of the request; 0 is the most urgent.
+            missing: Whether the engine just refused a request because it lacks the adapter; such a
+                load request is sent at once.
+        """
         now = monotonic()
         if not missing and now - self._sent.get((endpoint, key), 0.0) < REPEAT_INTERVAL:
             return
         if len(self._sent) > MAX_REMEMBERED:
             self._sent = {k: at for k, at in self._sent.items() if now - at < REPEAT_INTERVAL}
         self._sent[endpoint, key] = now
-        orderer = self._ownership.controller(endpoint)
-        if orderer is not None:
-            orderer.request_load(key, priority, missing)
+        controller = self._ownership.controller(endpoint)
+        if controller is not None:
+            controller.request_load(key, priority, missing)
             return
-        holder = self._views.get(endpoint).owner
-        if holder:
-            wish = LoadRequest(self._me, endpoint, to_adapter(key), priority, missing)
-            self._send(holder, wish)
+        owner = self._views.get(endpoint).owner
+        if owner:
+            load_request = LoadRequest(self._me, endpoint, to_adapter(key), priority, missing)
+            self._send(owner, load_request)
 
     def report_use(self, endpoint: str, key: AdapterKey) -> None:
-        """Tells the holder that a request is sent."""
-        orderer = self._ownership.controller(endpoint)
-        if orderer is not None:
-            orderer.note_use(key.name)
+        """Tells the owner of an engine that a request for an adapter is dispatched there."""
+        controller = self._ownership.controller(endpoint)
+        if controller is not None:
+            controller.note_use(key.name)
             return
-        holder = self._views.get(endpoint).owner
-        if holder:
-            self._send(holder, AdapterUse(self._me, endpoint, to_adapter(key)))
+        owner = self._views.get(endpoint).owner
+        if owner:
+            self._send(owner, AdapterUse(self._me, endpoint, to_adapter(key)))
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/member.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/member.py
@@ -1,4 +1,4 @@
-"""Another instance, as its heartbeats describe it."""
+"""What is known of another instance from its heartbeats."""
 
 from __future__ import annotations
 
@@ -12,10 +12,22 @@
 
 @dataclass(slots=True)
 class Member:
-    """Another instance, as its last heartbeat described it; `since` is its first one's time.
-
-    The contact is its contact with the store, by this instance's clock: later than it was by the
-    time that the heartbeat took. So is its start, which all know alike.
+    """Another instance, as its last heartbeat described it.
+
+    Attributes:
+        name: Name of the instance.
+        incarnation: Incarnation of its process.
+        address: Its address for messages.
+        zone: Its availability zone.
+        leaving: Whether it is shutting down.
+        has_lease: Whether its lease was in force.
+        first_heartbeat: Time of the first heartbeat of its incarnation.
+        last_heartbeat: Time of its last heartbeat.
+        adapters_in_use: Adapters that it uses at the endpoints owned here, by endpoint.
+        store_contact: Its contact with the store, by this instance's clock: later than it really
+            was by the heartbeat's transit time. None if the store has not answered it yet.
+        started: Time of its start, by this instance's clock and late by the transit time; all
+            instances know it alike.
     """
 
     name: str
@@ -32,7 +44,7 @@
 
 
 def store_contact_of(heartbeat: Heartbeat, now: float) -> Contact | None:
-    """Returns the sender's contact with the store by this instance's clock."""
+    """Returns the sender's contact with the store, by this instance's clock."""
     if heartbeat.store_contact_ms is None:
         return None
     return Contact(
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/members.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/members.py
@@ -1,6 +1,8 @@
-"""The instances of the deployment, as this one hears them, and messages to them.
+"""Tracks the other instances by their heartbeats, and sends heartbeats and messages to them.
 
-Heartbeats tell what each has under way. Where they go is told by `discovery`.
+Heartbeats carry each instance's lease and its load at the endpoints. Their addresses come from
+`discovery`. To bound the traffic between zones, only the delegates of a large zone send heartbeats
+to other zones for it, and messages to a large zone go to one instance that forwards them there.
 """
 
 from __future__ import annotations
@@ -34,33 +36,32 @@
 from wigeonarch_gateway.traffic import InFlightTracker
 
 MIN_HEARTBEAT_INTERVAL: Final = 0.2  # Seconds between heartbeats in a small deployment.
-MAX_HEARTBEATS_PER_SECOND: Final = (
-    60.0  # Heartbeats sent in all per second at most, so cost stays bounded.
-)
-# The same in a large zone, where each also hears as many, and decoding them is work.
+# Heartbeats that an instance sends per second at most, over all receivers, to bound the cost.
+MAX_HEARTBEATS_PER_SECOND: Final = 60.0
+# The same in a large zone, where each instance also receives and decodes as many.
 LARGE_ZONE_MAX_HEARTBEATS_PER_SECOND: Final = 40.0
-MAX_HEARTBEAT_INTERVAL: Final = 1.0
-# Peers that are asked to renew a lease; each takes two calls to the store.
+MAX_HEARTBEAT_INTERVAL: Final = 1.0  # Seconds.
+# Number of peers that are asked to renew a lease; each makes two calls to the store for it.
 RENEWING_PEERS: Final = 2
-MIN_UPDATE_INTERVAL: Final = (
-    0.9  # Seconds between repeated news of an engine in a small deployment.
-)
-MAX_UPDATES_PER_SECOND: Final = 30.0  # Repeated news sent in all per second and engine at most.
-MAX_UPDATE_INTERVAL: Final = 2.5
-MIN_SILENCE_LIMIT: Final = (
-    1.3  # Seconds without a heartbeat until an instance is not heard, at least;
-)
-SILENCE_LIMIT_INTERVALS: Final = 3.2  # and so many times the pause between heartbeats.
-# Seconds after its start in which an instance makes itself known to all.
+# Seconds between repeated updates of an engine in a small deployment.
+MIN_UPDATE_INTERVAL: Final = 0.9
+# Repeated updates of one engine that are sent per second at most, over all receivers.
+MAX_UPDATES_PER_SECOND: Final = 30.0
+MAX_UPDATE_INTERVAL: Final = 2.5  # Seconds.
+# An instance is unreachable after this many seconds without a heartbeat, and at least this many
+# heartbeat intervals.
+MIN_SILENCE_LIMIT: Final = 1.3
+SILENCE_LIMIT_INTERVALS: Final = 3.2
+# Seconds after its start in which an instance sends heartbeats to all others.
 ANNOUNCEMENT_TIME: Final = 4.0
 
 
 class Members:
-    """The other instances.
+    """The other instances of the deployment.
 
     Attributes:
-        discovery: Where they are.
-        duties: What each of them is there for.
+        discovery: Their addresses.
+        roles: The role of each instance.
     """
 
     __slots__ = (
@@ -98,20 +99,22 @@
         metrics: Metrics,
         store_contact: StoreContact,
     ) -> None:
-        """Makes an empty list.
+        """Creates the members; no other instance is known yet.
 
         Args:
             opts: Options of this process.
             incarnation: Incarnation of this process.
-            links: Sockets to the others.
-            traffic: What is under way.
-            lease: Returns the own lease's revision and the milliseconds that it has left.
-            on_lease: Called with an instance, its lease's revision and the seconds left.
-            held_by: Returns the holder of an endpoint.
-            on_started: Called with an instance that just started and should be told what was seen.
-            on_silent: Called with an instance that is not heard any more.
+            socket: Socket for messages to the other instances.
+            traffic: Requests in progress at endpoints.
+            own_lease: Returns the revision of this instance's lease and the milliseconds left.
+            on_lease_reported: Called with the name of an instance, the revision of its lease and
+                the seconds left.
+            owner_of: Returns the owner of an endpoint.
+            on_started: Called with an instance that just started, if this one is to send it what
+                was observed before its start.
+            on_silent: Called with an instance that is no longer reachable.
             metrics: Counters.
-            contact: This instance's contact with the store, which heartbeats tell.
+            store_contact: This instance's contact with the store, which heartbeats report.
         """
         self._opts = opts
         self._store_contact = store_contact
@@ -141,16 +144,16 @@
         )
 
     def reachable(self) -> list[str]:
-        """Returns the instances heard lately, without this one."""
+        """Returns the other instances whose heartbeats arrived lately."""
         since = monotonic() - self._silence_limit()
         return [name for name, member in self._members.items() if member.last_heartbeat > since]
 
     def with_lease(self) -> set[str]:
-        """Returns those of them whose lease holds."""
+        """Returns the reachable instances whose lease is in force."""
         return {name for name in self.reachable() if self._members[name].has_lease}
 
     def send_to_zone(self, zone: str, message: Message) -> bool:
-        """Sends a message to any one instance of another zone; False when it was dropped."""
+        """Sends a message to a random instance of another zone; returns False if it was dropped."""
         addresses = self._relays().get(zone) or [
             self._members[name].address
             for name in self.reachable()
@@ -159,30 +162,30 @@
         return bool(addresses) and self._socket.send(random.choice(addresses), message)
 
     def adapters_in_use(self, endpoint: str) -> set[AdapterName]:
-        """Returns the adapters that other instances use at an endpoint held here."""
+        """Returns the adapters that other instances use at an endpoint owned here."""
         found: set[AdapterName] = set()
         for name in self.reachable():
             found.update(self._members[name].adapters_in_use.get(endpoint, ()))
         return found
 
     def note_adapter_use(self, sender: str, endpoint: str, key: AdapterKey) -> None:
-        """Notes a use that the next heartbeat will confirm."""
+        """Notes an adapter's use, which the sender's next heartbeat will include."""
         member = self._members.get(sender)
         if member is not None:
             member.adapters_in_use.setdefault(endpoint, []).append(key.name)
 
     def send(self, name: str, message: Message) -> bool:
-        """Sends a message to an instance; False when it was dropped at once."""
+        """Sends a message to an instance; returns False if it was dropped at once."""
         member = self._members.get(name)
         return member is not None and self._socket.send(member.address, message)
 
     def send_frame(self, name: str, frame: bytes) -> bool:
-        """Sends an encoded message to an instance; False when it was dropped at once."""
+        """Sends an encoded message to an instance; returns False if it was dropped at once."""
         member = self._members.get(name)
         return member is not None and self._socket.send_frame(member.address, frame)
 
     def send_all(self, message: Message) -> None:
-        """Sends a message to all instances heard; in large zones far away, by way of a relay."""
+        """Sends a message to all reachable instances; to other large zones by way of a relay."""
         frame = encode(message)
         far = self._relays()
         for name in self.reachable():
@@ -193,7 +196,7 @@
             self._send_relayed(far, frame)
 
     def forward_in_zone(self, relayed: Relay) -> None:
-        """Hands a message on to the instances of the own zone."""
+        """Forwards a relayed message to the instances of this zone."""
         for name in self.reachable():
             member = self._members[name]
             if member.zone == self._opts.zone:
@@ -205,18 +208,20 @@
             self._socket.send_frame(random.choice(addresses), wrapped)
 
     def _relays(self) -> dict[str, list[str]]:
+        """Returns the addresses of possible relays in each other large zone."""
         leaving = {name for name, member in self._members.items() if member.leaving}
         return self._directory.relay_addresses(self._opts.zone, leaving, monotonic())
 
     def _is_represented(self, zone: str) -> bool:
-        """Tells whether a few speak for the instances of a zone, whose silence then means little.
+        """Tells whether only the delegates of another zone send heartbeats here.
 
-        All are heard as they start, and those that use an engine held here, for a while.
+        The silence of its other instances then means little: they send heartbeats only while they
+        start, and while they use an engine that is owned here.
         """
         return zone != self._opts.zone and self._directory.is_large(zone)
 
     def request_lease_support(self, request: LeaseSupportRequest) -> None:
-        """Asks all for promises, and a few, drawn anew each time, for a renewal."""
+        """Asks all peers for a lease support promise, and a few random ones for a renewal."""
         names = self.reachable()
         asked = set(random.sample(names, min(RENEWING_PEERS, len(names))))
         for name in names:
@@ -228,14 +233,14 @@
             )
 
     def engine_update_interval(self) -> float:
-        """Returns the seconds between repeated news of an engine; many instances hear them less."""
+        """Returns the seconds between repeated updates of an engine; more with more instances."""
         return min(
             MAX_UPDATE_INTERVAL,
             max(MIN_UPDATE_INTERVAL, len(self.discovery.addresses()) / MAX_UPDATES_PER_SECOND),
         )
 
     def receive_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Takes over a heartbeat."""
+        """Applies a heartbeat."""
         if heartbeat.sender == self._opts.instance:
             return
         left = heartbeat.lease_left_ms / 1000
@@ -245,7 +250,7 @@
         started = before is None or before.incarnation != heartbeat.incarnation
         if not self._is_represented(heartbeat.zone):
             self._log_peer(heartbeat, before, now)
-        uses = {
+        in_use = {
             use.endpoint: [(model, adapter) for model, adapter, _ in use.adapters]
             for use in heartbeat.adapters_in_use
         }
@@ -258,7 +263,7 @@
             left > 0.0,
             now if started or before is None else before.first_heartbeat,
             now,
-            uses,
+            in_use,
             store_contact_of(heartbeat, now),
             now - heartbeat.uptime_ms / 1000,
         )
@@ -268,7 +273,7 @@
             self._on_started(heartbeat.sender)
 
     def _log_peer(self, heartbeat: Heartbeat, before: Member | None, now: float) -> None:
-        """Logs an instance that is new or was silent."""
+        """Logs the heartbeat of an instance that just started or was unreachable."""
         peer = heartbeat.sender
         if before is None or before.incarnation != heartbeat.incarnation:
             log(
@@ -281,7 +286,7 @@
             log("peer_heard_again", peer=peer, seconds=now - before.last_heartbeat)
 
     def _informs_newcomer(self, newcomer: str) -> bool:
-        """Tells whether this instance is the one that tells a newcomer what was seen before."""
+        """Tells whether this instance is the one that sends a newcomer what was observed before."""
         others = [name for name in self.reachable() if name != newcomer]
         if self._directory.is_large(self._opts.zone):
             if self._members[newcomer].zone != self._opts.zone:
@@ -303,44 +308,45 @@
         return self._heartbeat_interval
 
     def _set_heartbeat_interval(self) -> None:
-        told, most = len(self.discovery.addresses()), MAX_HEARTBEATS_PER_SECOND
+        receivers, most = len(self.discovery.addresses()), MAX_HEARTBEATS_PER_SECOND
         if self._directory.is_large(self._opts.zone):
-            told, most = (
+            receivers, most = (
                 self.discovery.own_zone_address_count(),
                 LARGE_ZONE_MAX_HEARTBEATS_PER_SECOND,
             )
         self._heartbeat_interval = min(
-            MAX_HEARTBEAT_INTERVAL, max(MIN_HEARTBEAT_INTERVAL, told / most)
+            MAX_HEARTBEAT_INTERVAL, max(MIN_HEARTBEAT_INTERVAL, receivers / most)
         )
 
     def _silence_limit(self) -> float:
-        """Returns the seconds without a heartbeat after which an instance is not heard."""
+        """Returns the seconds without a heartbeat after which an instance is unreachable."""
         return max(MIN_SILENCE_LIMIT, SILENCE_LIMIT_INTERVALS * self.heartbeat_interval())
 
     def _send_heartbeat_round(self) -> None:
+        """Sends one heartbeat to each instance that should get one from this instance."""
         loads = self._traffic.own_load_report()
         plain = encode(self._make_heartbeat(loads, []))
-        holders = {self._owner_of(load.endpoint) for load in loads}
+        owners = {self._owner_of(load.endpoint) for load in loads}
         names = {member.address: member.name for member in self._members.values()}
-        spoken_for = self._represented_zones()
+        represented = self._represented_zones()
         for address in self.discovery.addresses():
-            far = self.discovery.zone(address) in spoken_for
-            holder = names.get(address) in holders
-            if far and not holder:
+            far = self.discovery.zone(address) in represented
+            is_owner = names.get(address) in owners
+            if far and not is_owner:
                 continue
             frame = plain
-            if holder:
-                uses = self._adapters_in_use_at(names[address], [load.endpoint for load in loads])
-                frame = encode(self._make_heartbeat([] if far else loads, uses))
+            if is_owner:
+                in_use = self._adapters_in_use_at(names[address], [load.endpoint for load in loads])
+                frame = encode(self._make_heartbeat([] if far else loads, in_use))
             self._socket.send_frame(address, frame)
-        if spoken_for:
+        if represented:
             self._send_heartbeat_to_zones()
         self._metrics.peers.set(len(self.reachable()))
 
     def _represented_zones(self) -> set[str]:
-        """Returns the other zones in which only the keepers of the own zone make it heard.
+        """Returns the other zones to which only this zone's delegates send heartbeats.
 
-        An instance that just started makes itself known everywhere.
+        An instance that just started sends heartbeats everywhere, so there are none for it.
         """
         if monotonic() - self._started < ANNOUNCEMENT_TIME or not self._directory.is_large(
             self._opts.zone
@@ -349,17 +355,17 @@
         return set(self._relays())
 
     def _send_heartbeat_to_zones(self) -> None:
-        """Tells the other zones that a keeper lives; the first one adds the zone's loads."""
-        keepers = self.roles.delegates()
-        if self._opts.instance not in keepers:
+        """Sends a delegate's heartbeat to the other zones; the first one adds the zone's loads."""
+        delegates = self.roles.delegates()
+        if self._opts.instance not in delegates:
             return
         loads: list[EndpointLoad] = []
-        if keepers[0] == self._opts.instance:
+        if delegates[0] == self._opts.instance:
             nearby = [n for n in self.reachable() if self._members[n].zone == self._opts.zone]
             loads = self._traffic.combined_load_report(nearby)
         self._send_relayed(self._relays(), encode(self._make_heartbeat(loads, [])))
 
-    def _make_heartbeat(self, loads: list[EndpointLoad], uses: list[AdaptersInUse]) -> Heartbeat:
+    def _make_heartbeat(self, loads: list[EndpointLoad], in_use: list[AdaptersInUse]) -> Heartbeat:
         contact, now = self._store_contact.contact(), monotonic()
         return Heartbeat(
             self._opts.instance,
@@ -369,22 +375,23 @@
             self.roles.leaving,
             *self._own_lease(),
             loads,
-            uses,
+            in_use,
             None if contact is None else int((now - contact.since) * 1000),
             0 if contact is None else int((now - contact.until) * 1000),
             int((now - self._started) * 1000),
         )
 
     def _adapters_in_use_at(self, owner: str, endpoints: list[str]) -> list[AdaptersInUse]:
-        held = [endpoint for endpoint in endpoints if self._owner_of(endpoint) == owner]
+        owned = [endpoint for endpoint in endpoints if self._owner_of(endpoint) == owner]
         return [
             AdaptersInUse(
                 endpoint, [to_adapter(key) for key in self._traffic.adapters_in_use(endpoint)]
             )
-            for endpoint in held
+            for endpoint in owned
         ]
 
     def _forget_silent(self) -> None:
+        """Drops the loads of unreachable instances, and forgets those silent for long."""
         now = monotonic()
         for name, member in list(self._members.items()):
             if (
