--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/suspects.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/suspects.py
@@ -1,17 +1,19 @@
-"""Requests under which endpoints ended, as this instance and the others saw it.
-
-An instance that loses a run looks whether anything still listens at the endpoint's address, and if
-not, tells all others at once which request it was and where it ran, some losses in one message. A
-connection that broke while the endpoint lives on says nothing of the request. Where that is not
-known, or the run was given up, as its caller left or the endpoint fell silent, it counts when the
-endpoint is found to be gone or to have started again.
-
-What was seen more than once goes into the instance's lease too: an instance that is cut off from
-the others, and all that start anew, read it there. So nothing more is asked of the store than a
-lease that is renewed at once.
-
-An end counts once for each endpoint, and a whole answer clears a request of all (see
-`core.fatal_requests`).
+"""Requests during which endpoints crashed, as seen by this instance and reported by the others.
+
+A run is one dispatch of a request that may have reached its endpoint. When this instance loses the
+connection of a run, it checks whether a process still listens at the endpoint's address. If none
+does, it reports to all other instances at once which request it was and where it ran; losses that
+come together share one message. A connection that broke while the endpoint is still up says nothing
+about the request. If the check gives no result, or the run was given up because its caller
+disconnected or the endpoint fell silent, the run counts as a crash if the endpoint is soon found to
+be gone or restarted.
+
+Requests with more than one crash are also stored in the instance's lease, where instances that are
+cut off from the others, and those that start later, read them. This costs the store no more than
+one early lease renewal.
+
+A crash counts once for each incarnation of an endpoint, and a complete response clears a request of
+all its crashes (see `core.fatal_requests`).
 """
 
 from __future__ import annotations
@@ -39,21 +41,31 @@
 from wigeonarch_gateway.pools import ProbeResult
 from wigeonarch_gateway.ports import EndpointRecord
 
-# Seconds for which losses are gathered into one message: an endpoint that ends takes many at once.
+# Seconds for which crashes are collected into one message: an endpoint that crashes ends many runs
+# at once.
 BATCH_DELAY: Final = 0.02
 MAX_PER_MESSAGE: Final = 200  # Requests in one message, so that it fits into a datagram.
-# Seconds for which a run without an end is kept in mind: an entry lapses within four.
+# Seconds for which a run with an unknown outcome is remembered. The entry of an endpoint that is
+# gone lapses within four seconds.
 ABANDONED_RUN_TTL: Final = 10.0
-MAX_ABANDONED_RUNS: Final = 1000  # Such runs that are kept for one endpoint.
-# Seconds after the start in which what the store says is no news to others: all read it then.
+MAX_ABANDONED_RUNS: Final = 1000  # Such runs that are remembered for one endpoint.
+# Seconds after the start in which crashes read from the store are not reported to other instances,
+# as those read them, too.
 STARTUP_PERIOD: Final = 5.0
 
-# Keys of requests, and the ends under each, as messages and leases have them.
+# Content keys of requests, each with the ids of its crashes, as encoded in messages and leases.
 CrashesByContent = list[tuple[str, list[str]]]
 
 
 class _AbandonedRun(msgspec.Struct, frozen=True):
-    """A run that was given up at a time; what it was, and where and when it was sent."""
+    """A run that was given up before its outcome was known.
+
+    Attributes:
+        content_key: Key of the request's content.
+        crash_id: Id of the crash that it counts as if its endpoint is gone: the incarnation.
+        dispatched_at: Time at which the request was sent, in seconds.
+        abandoned_at: Time at which the run was given up, in seconds.
+    """
 
     content_key: str
     crash_id: str
@@ -62,7 +74,7 @@
 
 
 class SuspectRequests:
-    """The requests under which endpoints ended."""
+    """The requests that may have crashed endpoints."""
 
     __slots__ = (
         "_abandoned",
@@ -81,25 +93,25 @@
 
     def __init__(
         self,
-        me: str,
+        instance: str,
         send_all: Callable[[Message], None],
-        on_notable: Callable[[], None],
-        reach: Callable[[EndpointRecord], Awaitable[ProbeResult]],
+        on_crashes_to_store: Callable[[], None],
+        probe: Callable[[EndpointRecord], Awaitable[ProbeResult]],
         metrics: Metrics,
     ) -> None:
-        """Knows none.
+        """Creates an empty record of crashes.
 
         Args:
-            me: Name of this instance.
+            instance: Name of this instance.
             send_all: Sends a message to all instances.
-            on_notable: Called when `notable` has something that the store should have at once.
-            reach: Tells whether anything listens at an endpoint's address.
+            on_crashes_to_store: Called when `crashes_to_store` should be stored at once.
+            probe: Tells whether a process listens at an endpoint's address.
             metrics: Counters.
         """
-        self._instance = me
+        self._instance = instance
         self._send_all = send_all
-        self._on_crashes_to_store = on_notable
-        self._probe = reach
+        self._on_crashes_to_store = on_crashes_to_store
+        self._probe = probe
         self._metrics = metrics
         self._checks: dict[str, asyncio.Task[None]] = {}
         self._fatal_requests = FatalRequests()
@@ -109,58 +121,67 @@
         self._abandoned: defaultdict[str, deque[_AbandonedRun]] = defaultdict(deque)
         self._started = monotonic()
 
-    def quarantine_left(self, content: str) -> float:
-        """Returns the seconds for which a request is held back; 0 when it may be sent."""
-        return self._fatal_requests.quarantine_left(content, monotonic())
+    def quarantine_left(self, content_key: str) -> float:
+        """Returns the seconds for which a request stays quarantined; 0 if it may be sent."""
+        return self._fatal_requests.quarantine_left(content_key, monotonic())
 
-    def crash_count(self, content: str) -> int:
-        """Returns how many endpoints ended under a request."""
-        return self._fatal_requests.crash_count(content)
+    def crash_count(self, content_key: str) -> int:
+        """Returns how many crashes count for a request."""
+        return self._fatal_requests.crash_count(content_key)
 
-    # What the runs of this instance show.
+    # Runs of this instance.
 
-    def record_connection_lost(self, content: str, record: EndpointRecord, sent: float) -> None:
-        """Notes that the connection of a run was lost: its endpoint may have ended under it.
+    def record_connection_lost(
+        self, content_key: str, record: EndpointRecord, dispatched_at: float
+    ) -> None:
+        """Records that the connection of a run was lost: its endpoint may have crashed.
 
         Args:
-            content: Key of the request's content.
+            content_key: Key of the request's content.
             record: The endpoint.
-            sent: Time at which the request was sent.
+            dispatched_at: Time at which the request was sent, in seconds.
         """
-        self.record_abandoned(content, record, sent)
+        self.record_abandoned(content_key, record, dispatched_at)
         if record.endpoint not in self._checks:
             check = asyncio.create_task(self._probe_after_loss(record))
             self._checks[record.endpoint] = check
             check.add_done_callback(lambda task: self._checks.pop(record.endpoint, None))
 
     async def _probe_after_loss(self, record: EndpointRecord) -> None:
-        """Looks whether an endpoint lives, which decides on all runs that were lost by then."""
-        reach = await self._probe(record)
-        if reach is ProbeResult.REFUSED:
+        """Checks whether an endpoint is up, which decides on all its runs that were lost so far."""
+        result = await self._probe(record)
+        if result is ProbeResult.REFUSED:
             self.endpoint_ended(record.endpoint)
-        elif reach is ProbeResult.OPEN:
+        elif result is ProbeResult.OPEN:
             self._abandoned.pop(record.endpoint, None)
 
-    def record_abandoned(self, content: str, record: EndpointRecord, sent: float) -> None:
-        """Notes a run that was given up while nothing was known of its end."""
+    def record_abandoned(
+        self, content_key: str, record: EndpointRecord, dispatched_at: float
+    ) -> None:
+        """Records a run that was given up before its outcome was known."""
         runs = self._abandoned[record.endpoint]
         runs.append(
-            _AbandonedRun(content, crash_id(record.endpoint, record.born), sent, monotonic())
+            _AbandonedRun(
+                content_key, crash_id(record.endpoint, record.born), dispatched_at, monotonic()
+            )
         )
         if len(runs) > MAX_ABANDONED_RUNS:
             runs.popleft()
 
-    def record_answered(self, content: str) -> None:
-        """Notes a run to its end, which clears the request."""
-        ends = self._fatal_requests.record_completion(content)
-        if ends is None:
+    def record_answered(self, content_key: str) -> None:
+        """Records a complete response, which clears the request."""
+        crashes = self._fatal_requests.record_completion(content_key)
+        if crashes is None:
             return
-        log("suspect_cleared", content=content, ends=len(ends.crash_ids))
-        self._unsent_cleared.append(ends)
+        log("suspect_cleared", content=content_key, ends=len(crashes.crash_ids))
+        self._unsent_cleared.append(crashes)
         self._schedule_batch()
 
     def endpoint_ended(self, endpoint: str) -> None:
-        """Notes that an endpoint is gone, started again, or does not listen any more."""
+        """Counts a crash for each recent abandoned run of an endpoint.
+
+        Called when the endpoint is gone, has restarted, or does not listen any more.
+        """
         now = monotonic()
         for run in self._abandoned.pop(endpoint, ()):
             if run.abandoned_at >= now - ABANDONED_RUN_TTL:
@@ -169,7 +190,7 @@
                 )
 
     def expire(self) -> None:
-        """Forgets what is old."""
+        """Forgets old requests and runs."""
         now = monotonic()
         self._fatal_requests.expire(now)
         for endpoint, runs in list(self._abandoned.items()):
@@ -178,35 +199,42 @@
             if not runs:
                 del self._abandoned[endpoint]
 
-    def _record_own_crash(self, end: Crash) -> None:
-        """Takes over an end that this instance saw, and tells the others."""
-        if not self._record_crash(end):
+    def _record_own_crash(self, crash: Crash) -> None:
+        """Records a crash that this instance saw, and reports it to the others."""
+        if not self._record_crash(crash):
             return
-        self._unsent.append(end)
+        self._unsent.append(crash)
         self._schedule_batch()
-        if self._fatal_requests.crash_count(end.content_key) >= CRASHES_TO_STORE:
+        if self._fatal_requests.crash_count(crash.content_key) >= CRASHES_TO_STORE:
             self._on_crashes_to_store()
 
-    def _record_crash(self, end: Crash) -> bool:
-        before = self._fatal_requests.crash_count(end.content_key)
-        if not self._fatal_requests.record_crash(end, monotonic()):
+    def _record_crash(self, crash: Crash) -> bool:
+        count_before = self._fatal_requests.crash_count(crash.content_key)
+        if not self._fatal_requests.record_crash(crash, monotonic()):
             return False
-        self._log_if_quarantined(end.content_key, before, end.crash_id)
+        self._log_if_quarantined(crash.content_key, count_before, crash.crash_id)
         return True
 
-    def _adopt_crashes(self, found: RequestCrashes) -> bool:
-        before = self._fatal_requests.crash_count(found.content_key)
-        if not self._fatal_requests.adopt(found, monotonic()):
+    def _adopt_crashes(self, reported: RequestCrashes) -> bool:
+        count_before = self._fatal_requests.crash_count(reported.content_key)
+        if not self._fatal_requests.adopt(reported, monotonic()):
             return False
-        self._log_if_quarantined(found.content_key, before, "")
+        self._log_if_quarantined(reported.content_key, count_before, "")
         return True
 
-    def _log_if_quarantined(self, content: str, before: int, last: str) -> None:
-        """Logs a request that is held back from now on."""
-        ends = self._fatal_requests.crash_count(content)
-        if before < CRASHES_TO_QUARANTINE <= ends:
-            held = self.quarantine_left(content)
-            log("quarantined", "WARNING", content=content, ends=ends, last=last, held=held)
+    def _log_if_quarantined(self, content_key: str, count_before: int, last_crash_id: str) -> None:
+        """Logs and counts a request that is quarantined from now on."""
+        count = self._fatal_requests.crash_count(content_key)
+        if count_before < CRASHES_TO_QUARANTINE <= count:
+            quarantine_left = self.quarantine_left(content_key)
+            log(
+                "quarantined",
+                "WARNING",
+                content=content_key,
+                ends=count,
+                last=last_crash_id,
+                held=quarantine_left,
+            )
             self._metrics.quarantined.inc()
 
     def _schedule_batch(self) -> None:
@@ -215,45 +243,48 @@
 
     def _send_batch(self) -> None:
         self._batch_timer = None
-        ends, self._unsent = self._unsent, []
+        crashes, self._unsent = self._unsent, []
         cleared, self._unsent_cleared = self._unsent_cleared, []
-        for start in range(0, max(len(ends), len(cleared)), MAX_PER_MESSAGE):
+        for start in range(0, max(len(crashes), len(cleared)), MAX_PER_MESSAGE):
             part = slice(start, start + MAX_PER_MESSAGE)
-            seen = [(end.content_key, end.crash_id, int(end.age * 1000)) for end in ends[part]]
-            self._send_all(CrashReport(self._instance, seen, _to_wire(cleared[part]), []))
+            reports = [
+                (crash.content_key, crash.crash_id, int(crash.age * 1000))
+                for crash in crashes[part]
+            ]
+            self._send_all(CrashReport(self._instance, reports, _to_wire(cleared[part]), []))
 
-    # What others tell, and what is told to those that start.
+    # Exchange with other instances and the store.
 
     def receive_report(self, message: CrashReport) -> None:
-        """Takes over what another instance saw."""
-        for content, endpoint, age in message.crashes:
-            self._record_crash(Crash(content, endpoint, age / 1000))
-        for found in _from_wire(message.counted):
-            self._adopt_crashes(found)
-        for found in _from_wire(message.cleared):
-            self._fatal_requests.apply_clearance(found)
+        """Takes over a report of another instance."""
+        for content_key, crash, age_ms in message.crashes:
+            self._record_crash(Crash(content_key, crash, age_ms / 1000))
+        for reported in _from_wire(message.counted):
+            self._adopt_crashes(reported)
+        for reported in _from_wire(message.cleared):
+            self._fatal_requests.apply_clearance(reported)
 
     def known_crashes(self) -> CrashReport:
-        """Returns what an instance that just started should know."""
+        """Returns a report for an instance that just started."""
         return CrashReport(
             self._instance, [], [], _to_wire(self._fatal_requests.most_crashes(1, MAX_PER_MESSAGE))
         )
 
     def crashes_to_store(self) -> CrashesByContent:
-        """Returns what belongs into the store."""
+        """Returns the crashes that are stored in this instance's lease."""
         return _to_wire(self._fatal_requests.most_crashes(CRASHES_TO_STORE, MAX_STORED))
 
-    def adopt_stored_crashes(self, notable: CrashesByContent) -> None:
-        """Takes over what a lease in the store says; the others hear of what is news."""
-        is_young = monotonic() - self._started < STARTUP_PERIOD
-        for found in _from_wire(notable):
-            if self._adopt_crashes(found) and not is_young:
-                self._send_all(CrashReport(self._instance, [], [], _to_wire([found])))
+    def adopt_stored_crashes(self, stored: CrashesByContent) -> None:
+        """Takes over the crashes in a lease, and reports the new ones to the other instances."""
+        is_starting = monotonic() - self._started < STARTUP_PERIOD
+        for reported in _from_wire(stored):
+            if self._adopt_crashes(reported) and not is_starting:
+                self._send_all(CrashReport(self._instance, [], [], _to_wire([reported])))
 
 
-def _to_wire(ends: Sequence[RequestCrashes]) -> CrashesByContent:
-    return [(found.content_key, sorted(found.crash_ids)) for found in ends]
+def _to_wire(crashes: Sequence[RequestCrashes]) -> CrashesByContent:
+    return [(reported.content_key, sorted(reported.crash_ids)) for reported in crashes]
 
 
-def _from_wire(ends: CrashesByContent) -> list[RequestCrashes]:
-    return [RequestCrashes(content, frozenset(endpoints)) for content, endpoints in ends]
+def _from_wire(crashes: CrashesByContent) -> list[RequestCrashes]:
+    return [RequestCrashes(content_key, frozenset(crash_ids)) for content_key, crash_ids in crashes]
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/texts.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/texts.py
@@ -1,4 +1,4 @@
-"""Texts that callers see."""
+"""Response bodies for callers whose requests this instance answers itself."""
 
 from __future__ import annotations
 
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/traffic.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/traffic.py
@@ -1,6 +1,7 @@
-"""What is under way at each endpoint: exactly for this instance, by their heartbeats for others.
+"""Tracks requests in flight at each endpoint: exactly for this instance, by heartbeats for others.
 
-Totals are kept up to date as news come, so asking costs the same however many instances there are.
+Totals are updated whenever a heartbeat arrives, so a query costs the same however many instances
+there are.
 """
 
 from __future__ import annotations
@@ -17,20 +18,21 @@
 
 from wigeonarch_gateway.messages import EndpointLoad
 
-# Seconds over which prompt tokens count as sent lately: about the longest pause that streams may
-# have while prompts are read between their tokens (0.25 and 0.3 are known).
+# Time constant, in seconds, with which recently sent prompt tokens decay. It is about the longest
+# pause that streams may have while an engine reads prompts between their tokens; known objectives
+# allow 0.25 and 0.3.
 RECENT_DECAY_TIME: Final = 0.3
 
 
 @dataclass(slots=True)
 class Load:
-    """Requests under way at one endpoint.
+    """The requests in flight at one endpoint, added up.
 
     Attributes:
-        running: Requests that have not ended.
-        waiting_tokens: Prompt tokens whose first token has not come.
+        running: Number of requests that have not ended.
+        waiting_tokens: Prompt tokens of requests whose first output token has not come.
         kv_tokens: Tokens that the requests may take in the KV cache.
-        recent_tokens: Prompt tokens sent lately, older ones counting less and less.
+        recent_tokens: Prompt tokens sent recently, with exponential decay.
     """
 
     running: int = 0
@@ -39,7 +41,7 @@
     recent_tokens: float = 0.0
 
     def add(self, other: Load | EndpointLoad, sign: int = 1) -> None:
-        """Adds another instance's share, or takes it away."""
+        """Adds another load or, with `sign` -1, subtracts it."""
         self.running += sign * other.running
         self.waiting_tokens += sign * other.waiting_tokens
         self.kv_tokens += sign * other.kv_tokens
@@ -51,10 +53,15 @@
 
 @dataclass(slots=True)
 class InFlightRequest:
-    """One request under way; `prompt` is 0 once its first token has come.
+    """One request in flight.
 
     Attributes:
-        wait: What is expected until its first token; None if nothing is learned from it.
+        endpoint: The endpoint that it was sent to.
+        unread_tokens: Tokens of its prompt; 0 once its first output token has come.
+        kv_tokens: Tokens that it may take in the KV cache.
+        adapter: The adapter that it uses; None if it uses none.
+        first_token_wait: Its wait for the first token, from which the engine's latency is learned;
+            None if nothing is to be learned from it.
     """
 
     endpoint: str
@@ -65,7 +72,7 @@
 
 
 class InFlightTracker:
-    """Requests under way at all endpoints."""
+    """Tracks the requests in flight at all endpoints."""
 
     __slots__ = ("_adapter_uses", "_own_loads", "_peer_loads", "_peer_totals", "_recent_prompts")
 
@@ -77,46 +84,46 @@
         self._recent_prompts: dict[str, tuple[float, float]] = {}
 
     def begin(
-        self, endpoint: str, prompt: float, kv: float, key: AdapterKey | None
+        self, endpoint: str, prompt_tokens: float, kv_tokens: float, adapter: AdapterKey | None
     ) -> InFlightRequest:
-        """Notes a request that is sent."""
-        under = InFlightRequest(endpoint, prompt, kv, key)
+        """Records a request that is sent."""
+        in_flight = InFlightRequest(endpoint, prompt_tokens, kv_tokens, adapter)
         load = self._own_loads.setdefault(endpoint, Load())
         load.running += 1
-        load.waiting_tokens += prompt
-        load.kv_tokens += kv
+        load.waiting_tokens += prompt_tokens
+        load.kv_tokens += kv_tokens
         now = monotonic()
-        self._recent_prompts[endpoint] = (self._recent_tokens(endpoint, now) + prompt, now)
-        if key is not None:
-            self._adapter_uses.setdefault(endpoint, Counter())[key] += 1
-        return under
-
-    def first_token(self, under: InFlightRequest) -> None:
-        """Notes that a request's prompt was read."""
-        load = self._own_loads.get(under.endpoint)
+        self._recent_prompts[endpoint] = (self._recent_tokens(endpoint, now) + prompt_tokens, now)
+        if adapter is not None:
+            self._adapter_uses.setdefault(endpoint, Counter())[adapter] += 1
+        return in_flight
+
+    def first_token(self, in_flight: InFlightRequest) -> None:
+        """Records that a request's prompt was read."""
+        load = self._own_loads.get(in_flight.endpoint)
         if load is not None:
-            load.waiting_tokens -= under.unread_tokens
-        under.unread_tokens = 0.0
+            load.waiting_tokens -= in_flight.unread_tokens
+        in_flight.unread_tokens = 0.0
 
-    def end(self, under: InFlightRequest) -> None:
-        """Notes that a request has ended."""
-        self.first_token(under)
-        load = self._own_loads.get(under.endpoint)
+    def end(self, in_flight: InFlightRequest) -> None:
+        """Records that a request has ended."""
+        self.first_token(in_flight)
+        load = self._own_loads.get(in_flight.endpoint)
         if load is not None:
             load.running -= 1
-            load.kv_tokens -= under.kv_tokens
+            load.kv_tokens -= in_flight.kv_tokens
             if not load.running:
-                del self._own_loads[under.endpoint]
-        if under.adapter is not None:
-            uses = self._adapter_uses[under.endpoint]
-            uses[under.adapter] -= 1
-            if not uses[under.adapter]:
-                del uses[under.adapter]
+                del self._own_loads[in_flight.endpoint]
+        if in_flight.adapter is not None:
+            uses = self._adapter_uses[in_flight.endpoint]
+            uses[in_flight.adapter] -= 1
+            if not uses[in_flight.adapter]:
+                del uses[in_flight.adapter]
             if not uses:
-                del self._adapter_uses[under.endpoint]
+                del self._adapter_uses[in_flight.endpoint]
 
     def receive_loads(self, sender: str, loads: list[EndpointLoad]) -> None:
-        """Takes over what another instance has under way."""
+        """Takes over the loads that another instance reports."""
         before = self._peer_loads.get(sender)
         if before == loads:
             return
@@ -126,14 +133,14 @@
         self._add_peer_loads(loads, 1)
 
     def forget_instance(self, sender: str) -> bool:
-        """Forgets an instance that is not heard any more; returns whether it was known."""
+        """Forgets an instance that sends no heartbeats any more; returns whether it was known."""
         if sender not in self._peer_loads:
             return False
         self._add_peer_loads(self._peer_loads.pop(sender), -1)
         return True
 
     def load_at(self, endpoint: str) -> Load:
-        """Returns all that is believed to be under way at an endpoint."""
+        """Returns the load at an endpoint, of all instances."""
         own, others = self._own_loads.get(endpoint), self._peer_totals.get(endpoint)
         if own is None and others is None:
             return NO_LOAD
@@ -147,7 +154,7 @@
         return total
 
     def _recent_tokens(self, endpoint: str, now: float) -> float:
-        """Returns the prompt tokens that this instance sent lately."""
+        """Returns the prompt tokens that this instance sent recently, with decay."""
         tokens, at = self._recent_prompts.get(endpoint, (0.0, now))
         return tokens * math.exp((at - now) / RECENT_DECAY_TIME)
 
@@ -159,7 +166,7 @@
                 del self._peer_totals[share.endpoint]
 
     def own_load_report(self) -> list[EndpointLoad]:
-        """Returns this instance's part, to tell others."""
+        """Returns this instance's load at each endpoint, for its heartbeats."""
         now = monotonic()
         recent = {endpoint: self._recent_tokens(endpoint, now) for endpoint in self._recent_prompts}
         self._recent_prompts = {
@@ -171,7 +178,7 @@
         ]
 
     def combined_load_report(self, senders: Iterable[str]) -> list[EndpointLoad]:
-        """Returns the parts of this instance and of some others, added up."""
+        """Returns the loads of this instance and of some others, added up."""
         sums = {endpoint: Load() for endpoint in self._own_loads}
         for endpoint, load in self._own_loads.items():
             sums[endpoint].add(load)
@@ -185,7 +192,7 @@
         ]
 
     def adapters_in_use(self, endpoint: str) -> list[AdapterKey]:
-        """Returns the adapters that this instance's requests use at an endpoint."""
+        """Returns the adapters that this instance's requests in flight use at an endpoint."""
         return list(self._adapter_uses.get(endpoint, ()))
 
 
--- a/packages/wigeonarch-gateway/src/wigeonarch_gateway/watching.py
+++ b/packages/wigeonarch-gateway/src/wigeonarch_gateway/watching.py
@@ -1,15 +1,16 @@
-"""Watches of the store: configuration, endpoints and adapter versions, each by a task of its own.
-
-Where other instances of the zone watch the store for this one, the task rests (see `sharing`).
-A watch waits briefly, so that a connection that went silent for good is noticed within the wait and
-a margin; the call is then made anew on another connection. When the history that a watch needs is
-gone, or a call was lost, the kind is listed. A configuration never goes back to an older version.
-
-A call without any answer casts doubt on the watches beside it, which may wait in vain for as long
-as they were to: those kinds are listed at once. So a way to the store that was silent for a moment
-is noticed for all kinds by the shortest wait, `watch_configuration`, and a margin; with the list
-that follows they take less than the time with a way to the store after which this instance must
-act on what the store accepted (`StoreOptions.contact`).
+"""Watches the configuration, endpoints and adapter versions in the store, one task for each kind.
+
+The task does nothing while another instance of the zone watches the store for this one (see
+`sharing`). A watch call waits only briefly, so that a connection that stays silent is noticed
+within the wait and a margin; the call is then repeated on another connection. If the history that a
+watch needs is gone, or a call was lost, the kind is listed. A configuration never goes back to an
+older version.
+
+A call without an answer makes the concurrent watch calls suspect, which may be lost, too, and wait
+in vain until they time out: their kinds are listed at once. A short interruption of the way to the
+store is therefore noticed for all kinds within the shortest wait, `watch_configuration`, and a
+margin. Together with the list that follows this takes less than `StoreOptions.contact`, the time in
+contact with the store after which this instance must act on what the store accepted.
 """
 
 from __future__ import annotations
@@ -34,20 +35,20 @@
 )
 from wigeonarch_gateway.sharing import NEVER, WatchSharing
 
-FOLLOWING_CHECK_INTERVAL: Final = 0.3  # Seconds between looks whether the keeper still tells.
-WATCHER_SEARCH_INTERVAL: Final = (
-    0.1  # The same whether there is a keeper, before there is a first word of one.
-)
+FOLLOWING_CHECK_INTERVAL: Final = 0.3  # Seconds between checks whether the watcher still replies.
+# Seconds between checks whether there is a watcher, before the first reply of one.
+WATCHER_SEARCH_INTERVAL: Final = 0.1
 
 
 class WatchedKind(msgspec.Struct, frozen=True):
-    """What a watch tells of.
+    """A kind to watch, and how.
 
     Attributes:
         kind: The kind that is watched.
-        listed: Called with all objects of the first list; of later ones only what changed is told.
-        wait: Seconds that one call waits at most.
-        gather: Seconds to wait after news, so that several changes cost one call.
+        on_first_list: Called with all objects of the first list; later lists are reported as
+            changes.
+        wait: Seconds that one watch call waits at most.
+        batch_pause: Seconds to pause after changes, so that several changes cost one call.
     """
 
     kind: ObjectKind
@@ -57,17 +58,19 @@
 
 
 class StoreReachability:
-    """Whether the store answers this instance's watches."""
+    """Tracks whether the store answers this instance's calls."""
 
     __slots__ = ("_answered", "_call_lost", "_failing_kinds")
 
     def __init__(self) -> None:
         self._answered = asyncio.Event()
         self._call_lost = asyncio.Event()
-        self._failing_kinds: dict[ObjectKind, None] = {}  # In the order in which they were lost.
+        self._failing_kinds: dict[ObjectKind, None] = (
+            {}
+        )  # In the order in which they began to fail.
 
     def note_answer(self, kind: ObjectKind) -> None:
-        """Notes an answer."""
+        """Notes an answer of the store for a kind."""
         if kind in self._failing_kinds:
             del self._failing_kinds[kind]
             log("store_back", kind=kind.value)
@@ -75,9 +78,10 @@
             self._answered = asyncio.Event()
 
     async def wait_before_retry(self, kind: ObjectKind, pause: float) -> None:
-        """Waits until a call that failed is to be made again.
+        """Waits until a call that failed should be repeated.
 
-        In an outage the kind that was lost first asks for all: the others wait for its answer.
+        In an outage only the kind that failed first calls the store; the others wait for its
+        answer.
         """
         if next(iter(self._failing_kinds), kind) is kind:
             await asyncio.sleep(pause)
@@ -85,7 +89,7 @@
             await self._answered.wait()
 
     def note_failure(self, kind: ObjectKind, result: Unavailable) -> None:
-        """Notes a call that failed."""
+        """Notes a failed call for a kind."""
         if kind not in self._failing_kinds:
             self._failing_kinds[kind] = None
             log("store_lost", "WARNING", kind=kind.value, reason=result.reason)
@@ -94,12 +98,12 @@
             self._call_lost = asyncio.Event()
 
     async def wait_for_lost_call(self) -> None:
-        """Waits until a call got no answer; one that was refused got one."""
+        """Waits until a call gets no answer; a call that is refused gets one."""
         await self._call_lost.wait()
 
     @property
     def is_away(self) -> bool:
-        """Tells whether some kind is without an answer."""
+        """Whether the store does not answer calls for some kind."""
         return bool(self._failing_kinds)
 
 
@@ -110,50 +114,50 @@
     sharing: WatchSharing,
     watched: WatchedKind,
 ) -> None:
-    """Keeps a kind up to date, by itself while no keeper does; runs until cancelled."""
+    """Keeps a kind up to date while no watcher does it for this instance; runs until cancelled."""
     kind = watched.kind
     feed = sharing.feed(kind)
-    gone = False
+    needs_list = False
     failures = 0
     while True:
-        rests = sharing.watch_not_needed_for(kind)
-        if rests > 0.0:
-            # What the keeper vouches for has no gap, whatever the own calls missed before.
-            gone, failures = False, 0
+        idle_for = sharing.watch_not_needed_for(kind)
+        if idle_for > 0.0:
+            # The state that the watcher confirms has no gap, even if own calls missed changes.
+            needs_list, failures = False, 0
             state.note_answer(kind)
-            look = (
+            interval = (
                 FOLLOWING_CHECK_INTERVAL
                 if sharing.is_kept_current(kind)
                 else WATCHER_SEARCH_INTERVAL
             )
-            await asyncio.sleep(min(look, rests))
+            await asyncio.sleep(min(interval, idle_for))
             continue
         since = feed.as_of
-        if since is None or gone:
-            gone = not await _list(store, state, sharing, watched)
-            if gone:
+        if since is None or needs_list:
+            needs_list = not await _list(store, state, sharing, watched)
+            if needs_list:
                 await state.wait_before_retry(kind, _retry_pause(opts, sharing, failures))
-            failures = failures + 1 if gone else 0
+            failures = failures + 1 if needs_list else 0
             continue
         pause, wait = sharing.watch_times(kind, watched.batch_pause, watched.wait)
         result = await _watch(store, state, kind, since, wait)
         if result is None:
-            gone = True
+            needs_list = True
             continue
         if isinstance(result, Unavailable):
             state.note_failure(kind, result)
             sharing.note_store_failure(kind)
             await state.wait_before_retry(kind, _retry_pause(opts, sharing, failures))
             failures += 1
-            # A list tells what is so now; a watch may wait in vain where history is being dropped.
-            gone = True
+            # A list shows the present state; a watch might wait in vain while history is dropped.
+            needs_list = True
             continue
         failures = 0
         state.note_answer(kind)
         sharing.note_store_answer(kind)
         if isinstance(result, HistoryGone):
             log("store_history_gone", "WARNING", kind=kind.value, since=since)
-            gone = True
+            needs_list = True
             continue
         sharing.take_changes(kind, result.changes, result.as_of)
         if result.changes and pause:
@@ -163,7 +167,7 @@
 async def _watch(
     store: ObjectStore, state: StoreReachability, kind: ObjectKind, since: int, wait: float
 ) -> Changes | HistoryGone | Unavailable | None:
-    """Returns what a watch told; None when another call got no answer meanwhile."""
+    """Returns the result of a watch call; None if another call got no answer meanwhile."""
     call = asyncio.ensure_future(store.watch(kind, since, wait))
     silenced = asyncio.ensure_future(state.wait_for_lost_call())
     try:
@@ -175,10 +179,10 @@
 
 
 def _retry_pause(opts: StoreOptions, sharing: WatchSharing, failures: int) -> float:
-    """Returns the seconds until a call that failed is made again.
+    """Returns the seconds until a failed call is repeated.
 
-    Instances that mostly follow a keeper wait ever longer: they are many, each call has a price
-    also in an outage, and their keeper will say when the store is back.
+    Instances that normally follow a watcher wait longer after each failure: they are many, each
+    call has a price even in an outage, and their watcher will tell them when the store is back.
     """
     if sharing.is_watcher():
         return opts.retry
@@ -188,14 +192,14 @@
 async def _list(
     store: ObjectStore, state: StoreReachability, sharing: WatchSharing, watched: WatchedKind
 ) -> bool:
-    """Reads a kind whole; returns whether that brought a state to go on from.
+    """Lists all objects of a kind; returns whether watching can continue from the list.
 
-    The first list may be some seconds old: what changed since, the watch or the keeper tells, and
-    until then nothing vouches for the state.
+    The first list may be some seconds old. The watch or the watcher brings the changes since; until
+    then the state is not confirmed.
     """
     kind = watched.kind
     first = sharing.feed(kind).as_of is None
-    asked = NEVER if first else monotonic()
+    requested_at = NEVER if first else monotonic()
     result = await store.list(kind, stale=first)
     if not isinstance(result, Listing):
         state.note_failure(kind, result)
@@ -204,7 +208,7 @@
     state.note_answer(kind)
     sharing.note_store_answer(kind)
     known = sharing.feed(kind).as_of
-    if not sharing.take_list(kind, result.objects, result.as_of, asked):
+    if not sharing.take_list(kind, result.objects, result.as_of, requested_at):
         log("list_is_older", "WARNING", kind=kind.value, as_of=result.as_of, known=known)
         return False
     if first:
--- a/tests/corrupted_updates.py
+++ b/tests/corrupted_updates.py
@@ -1,4 +1,4 @@
-"""Defects planted in what a keeper tells, which tests of ages must find."""
+"""Defects planted in a watcher's updates, which the tests of their age must detect."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from wigeonarch_gateway.messages import StoreUpdate
 
 
-def without_age(told: StoreUpdate) -> StoreUpdate:
-    """Says that the keeper is up to date, whenever it last was."""
-    told.age_ms = 0
-    return told
+def without_age(update: StoreUpdate) -> StoreUpdate:
+    """Claims that the watcher is up to date, however old its state is."""
+    update.age_ms = 0
+    return update
 
 
-def without_outage(told: StoreUpdate) -> StoreUpdate:
-    """Says that the keeper has the store, and just heard of it."""
-    told.store_away = False
-    told.age_ms = 0
-    return told
+def without_outage(update: StoreUpdate) -> StoreUpdate:
+    """Claims that the store answers the watcher, and just did."""
+    update.store_away = False
+    update.age_ms = 0
+    return update
 
 
-def without_gap(told: StoreUpdate) -> StoreUpdate:
-    """Says that nothing is missing before what is told."""
-    told.since = 0
-    return told
+def without_gap(update: StoreUpdate) -> StoreUpdate:
+    """Claims that no changes are missing before those of the update."""
+    update.since = 0
+    return update
 
 
 DEFECTS: Final[tuple[Callable[[StoreUpdate], StoreUpdate], ...]] = (
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,6 +1,6 @@
-"""Gateways in one event loop before stand-ins of the platform, over real sockets.
+"""Runs gateway instances in one event loop against stand-ins of the platform, over real sockets.
 
-Each gateway has a loopback address of its own, as all use the same port for messages.
+Each instance has its own loopback address, because all use the same port for messages.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 from yarl import URL
 
 HOST = "shop.example"
-WAIT = 20.0  # Seconds after which a condition that must come true has failed; nothing is timed.
-STEP = 0.03  # Seconds between looks at a condition.
+WAIT = 20.0  # Seconds after which waiting for a condition fails; it is no bound under test.
+STEP = 0.03  # Seconds between checks of a condition.
 # Short leases, so that takeovers happen within a test.
 HOLDING = LeaseOptions(term=1.5, margin=0.3, renewal=0.3, pause=0.5)
 STORE = StoreOptions(
@@ -92,7 +92,7 @@
 
 @dataclass
 class CallerResponse:
-    """What a caller got; `complete` is False when the connection ended too early."""
+    """The response to a caller; `complete` is False if the connection ended too early."""
 
     status: int
     headers: dict[str, str]
@@ -102,7 +102,7 @@
 
 @dataclass
 class World:
-    """Stand-ins, gateways and a caller."""
+    """The store, replicas and gateway instances of a test, and a caller."""
 
     store: StoreStandIn
     nodes: list[Node] = field(default_factory=list)
@@ -115,14 +115,14 @@
     quotas: QuotaBounds = field(default_factory=QuotaBounds)
 
     async def add_replica(self, replica: Replica) -> Replica:
-        """Starts a replica and enters it into the list."""
+        """Starts a replica and writes its entry to the store."""
         await replica.start()
         self.replicas.append(replica)
         await self.store.put("servers", replica.name, replica.record())
         return replica
 
     async def add_node(self, number: int) -> Node:
-        """Starts a gateway at a loopback address of its own."""
+        """Starts a gateway instance at its own loopback address."""
         host = f"127.0.0.{number + 10}"
         opts = Options(
             instance=f"edge-{number}",
@@ -156,7 +156,7 @@
         adapter: str = "",
         **headers: str,
     ) -> CallerResponse:
-        """Sends a request on a new connection; returns what came back."""
+        """Sends a request on a new connection; returns the response."""
         self.sent += 1
         own = {"Host": HOST, "X-Request-Id": f"r{self.sent}", "X-Deadline-Ms": "5000"}
         if adapter:
@@ -179,7 +179,7 @@
             return CallerResponse(resp.status, found, b"".join(parts), complete)
 
     async def readiness_status(self, node: int = 0) -> int:
-        """Returns what a gateway answers to the balancer; 0 when it does not."""
+        """Returns the status of an instance's readiness check; 0 if it does not respond."""
         url = f"http://{self.options[node].ready}/wigeonarch/readyz"
         try:
             async with aiohttp.ClientSession() as session, session.get(url) as resp:
@@ -188,19 +188,19 @@
             return 0
 
     async def metrics(self, node: int = 0) -> str:
-        """Returns a gateway's metrics."""
+        """Returns the metrics page of an instance."""
         opts = self.options[node]
         url = f"http://{opts.ip}:{opts.metrics_port}/metrics"
         async with aiohttp.ClientSession() as session, session.get(url) as resp:
             return await resp.text()
 
     def recorded_owner(self, endpoint: str) -> str:
-        """Returns the holder of an engine by the store; empty when there is none."""
+        """Returns the owner of an engine according to the store; empty if there is none."""
         found = self.store.objects.get(("wigeonarch-holders", endpoint))
         return str(found["spec"]["holder"]) if found else ""
 
     async def wait_until_served(self, path: str, node: int = 0, adapter: str = "") -> None:
-        """Waits until requests of a path are answered."""
+        """Waits until a request for a path succeeds."""
 
         async def ok() -> bool:
             return (await self.send_request(path, node=node, adapter=adapter)).status == 200
@@ -209,22 +209,22 @@
 
 
 async def until(condition: Callable[[], Awaitable[bool]]) -> None:
-    """Waits until a condition holds."""
+    """Waits until an asynchronous condition is true."""
     async with asyncio.timeout(WAIT):
-        while not await condition():  # noqa: ASYNC110 - the condition lies outside.
+        while not await condition():  # noqa: ASYNC110 - the condition is polled.
             await asyncio.sleep(STEP)
 
 
 async def until_true(condition: Callable[[], Any]) -> None:
-    """Waits until a plain condition holds."""
+    """Waits until a synchronous condition is true."""
     async with asyncio.timeout(WAIT):
-        while not condition():  # noqa: ASYNC110 - the condition lies outside.
+        while not condition():  # noqa: ASYNC110 - the condition is polled.
             await asyncio.sleep(STEP)
 
 
 @asynccontextmanager
 async def world(nodes: int = 1, store: StoreOptions = STORE) -> AsyncIterator[World]:
-    """Makes a deployment of one engine, one plain endpoint and some gateways."""
+    """Starts a deployment of one engine, one plain service and some gateway instances."""
     standin = StoreStandIn()
     await standin.start()
     await standin.put("config", "main", configuration())
@@ -247,13 +247,13 @@
 
 
 def new_store_contact(opts: StoreOptions | None = None) -> StoreContact:
-    """Returns the contact with the store of an instance that has had no answer yet."""
+    """Returns the store contact of an instance that the store has not answered yet."""
     opts = opts or StoreOptions()
     return StoreContact(LapseTimes(opts.lapse, opts.return_time, opts.contact))
 
 
 def cut_from_store(node: Node) -> str:
-    """Makes the store unreachable for an instance; returns where it was."""
+    """Makes the store unreachable for an instance; returns its real address."""
     client = node._store._store
     address: str = client._base  # type: ignore[attr-defined]
     client._base = "http://127.0.0.1:1/nowhere"  # type: ignore[attr-defined]
@@ -261,5 +261,5 @@
 
 
 def parse_json(body: bytes) -> Any:
-    """Returns a JSON document."""
+    """Decodes a JSON document."""
     return json.loads(body)
--- a/tests/test_endpoint_notices.py
+++ b/tests/test_endpoint_notices.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves in the heads of their answers."""
+"""Reading of what endpoints say of themselves in the heads of their responses."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
         (503, {b"retry-after": b"nan"}, Notice()),
         (503, {b"retry-after": b"inf"}, Notice()),
         (503, {b"retry-after": b"Fri, 04 Dec 2026 10:00:00 GMT"}, Notice()),
-        # Rest is asked for by turning a request away, and by nothing else.
+        # Only a refusal asks for a cooldown.
         (200, {b"retry-after": b"3"}, Notice()),
         (500, {b"retry-after": b"3"}, Notice()),
-        # Another endpoint may have the address by now.
+        # Misdirected: another endpoint may have the address by now.
         (421, {b"server-leaving": b"1", b"server-limit": b"1"}, None),
     ],
 )
-def test_what_an_endpoint_says_of_itself_is_read(
+def test_notice_of_a_response_head_is_read(
     status: int, headers: dict[bytes, bytes], notice: Notice | None
 ) -> None:
     assert read_notice(ResponseHead(status, tuple(headers.items()))) == notice
--- a/tests/test_endpoint_starts.py
+++ b/tests/test_endpoint_starts.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under their id: nothing of before is believed, nothing goes back."""
+"""Tests of endpoints that restart under their id: what was known of the last start is discarded."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return EndpointRecord("i-1", "s", "10.0.0.1:80", "a", 4, state, (), born)
 
 
-def endpoints() -> tuple[EndpointRegistry, list[int]]:
+def make_endpoints() -> tuple[EndpointRegistry, list[int]]:
     restarted: list[int] = []
     found = EndpointRegistry(
         lambda zone: 0.0, lambda name: None, lambda record: restarted.append(record.born)
@@ -30,26 +30,26 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "believed", "restarts"),
+    ("entries", "known_start", "restarts"),
     [
         ([0, 0], 0, []),
         ([5, 5], 5, []),
         ([5, 9], 9, [9]),
-        ([5, 9, 5], 9, [9]),  # Said late by the first incarnation.
+        ([5, 9, 5], 9, [9]),  # A late entry of the first incarnation.
         ([5, 9, 12], 12, [9, 12]),
-        ([5, 0], None, []),  # Somebody else wrote the second one.
+        ([5, 0], None, []),  # Another writer wrote the second entry.
         ([5, 0, 5], 5, []),
         ([0, 5], 5, []),
     ],
 )
 def test_the_last_incarnation_counts(
-    said: list[int], believed: int | None, restarts: list[int]
+    entries: list[int], known_start: int | None, restarts: list[int]
 ) -> None:
-    found, restarted = endpoints()
-    for born in said:
+    found, restarted = make_endpoints()
+    for born in entries:
         found.update(record(born))
     now = found.get("i-1")
-    assert (now.born if now else None) == believed
+    assert (now.born if now else None) == known_start
     assert restarted == restarts
 
 
@@ -57,21 +57,21 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "state"),
+    ("entries", "state"),
     [
         ([(0, READY), (0, LEAVING)], LEAVING),
-        ([(0, LEAVING), (0, READY)], LEAVING),  # An entry of before.
+        ([(0, LEAVING), (0, READY)], LEAVING),  # An outdated entry.
         ([(5, LEAVING), (5, READY)], LEAVING),
         ([(5, LEAVING), (9, READY)], READY),
         ([(5, READY), (9, LEAVING), (9, READY)], LEAVING),
     ],
 )
 @pytest.mark.parametrize("gone", [False, True])
-def test_an_older_entry_does_not_take_back_that_an_endpoint_leaves(
-    said: list[tuple[int, EndpointState]], state: EndpointState, gone: bool
+def test_an_older_entry_does_not_make_a_leaving_endpoint_ready(
+    entries: list[tuple[int, EndpointState]], state: EndpointState, gone: bool
 ) -> None:
-    found, _ = endpoints()
-    for born, stated in said:
+    found, _ = make_endpoints()
+    for born, stated in entries:
         if gone:
             found.entry_removed("i-1", 1e12)
         found.update(record(born, stated))
@@ -80,8 +80,8 @@
     assert now.state is state
 
 
-def test_an_old_incarnation_does_not_come_back_after_the_new_one_is_gone() -> None:
-    found, _ = endpoints()
+def test_an_entry_of_an_old_incarnation_is_ignored_after_the_new_one_is_gone() -> None:
+    found, _ = make_endpoints()
     found.update(record(5))
     found.update(record(9))
     found.entry_removed("i-1", 1e12)
@@ -90,47 +90,47 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 6), st.booleans()), max_size=12))
-def test_an_incarnation_never_goes_back(said: list[tuple[int, bool]]) -> None:
-    found, _ = endpoints()
+def test_the_known_incarnation_never_decreases(entries: list[tuple[int, bool]]) -> None:
+    found, _ = make_endpoints()
     latest = 0
-    for born, leaving in said:
+    for born, leaving in entries:
         state = EndpointState.LEAVING if leaving else EndpointState.READY
-        counts = found.update(record(born, state))
-        assert counts is (born >= latest)
+        is_applied = found.update(record(born, state))
+        assert is_applied is (born >= latest)
         latest = max(latest, born)
         now = found.get("i-1")
         assert now is not None and now.born == latest
 
 
-def news(number: int, born: int, adapters: list[str]) -> EngineUpdate:
+def update(number: int, born: int, adapters: list[str]) -> EngineUpdate:
     ready = [(0, name, 1) for name in adapters]
     return EngineUpdate("h", "i-1", 3, number, ["m"], ready, [], 0, True, born)
 
 
-def held(views: EngineViews) -> set[str]:
+def loaded(views: EngineViews) -> set[str]:
     return {adapter for _, adapter in views.get("i-1").ready}
 
 
-def test_what_was_believed_of_places_ends_with_the_incarnation() -> None:
+def test_the_view_of_an_engine_is_discarded_with_its_incarnation() -> None:
     views = EngineViews()
-    views.apply_update(news(1, 5, ["a"]))
-    assert held(views) == {"a"}
+    views.apply_update(update(1, 5, ["a"]))
+    assert loaded(views) == {"a"}
     views.note_restart("i-1", 9)
-    assert held(views) == set()
+    assert loaded(views) == set()
     assert not views.get("i-1").is_warm(AdapterKey("m", "a", 1))
-    views.apply_update(news(2, 5, ["a"]))  # Of a holder that does not know yet.
-    assert held(views) == set()
-    views.apply_update(news(3, 9, ["b"]))
-    views.note_restart("i-1", 9)  # Its entry comes after its holder's news.
-    assert held(views) == {"b"}
+    views.apply_update(update(2, 5, ["a"]))  # The owner does not know of the restart yet.
+    assert loaded(views) == set()
+    views.apply_update(update(3, 9, ["b"]))
+    views.note_restart("i-1", 9)  # The entry arrives after the owner's update.
+    assert loaded(views) == {"b"}
 
 
-def known_start(node: Node) -> int:
+def start_known_to(node: Node) -> int:
     found = node._endpoints.get("i-born")
     return found.born if found is not None else 0
 
 
-async def test_an_engine_that_starts_again_is_served_with_what_it_then_holds() -> None:
+async def test_an_engine_that_restarts_is_used_with_the_adapters_that_it_then_has() -> None:
     async with world(nodes=2) as found:
         engine = await found.add_replica(Replica("llm", model="m", name="i-born", born=1000))
         await found.store.delete("servers", "i-llm")
@@ -139,14 +139,14 @@
         for _ in range(2):
             engine.restart()
             await found.store.put("servers", "i-born", engine.record())
-            await until_true(lambda: all(known_start(n) == engine.born for n in found.nodes))
+            await until_true(lambda: all(start_known_to(n) == engine.born for n in found.nodes))
             await found.wait_until_served("/write/x", adapter="a1")
             await found.wait_until_served("/write/x", adapter="a3", node=1)
             assert "a3" in engine.held
         assert engine.overfilled == 0
 
 
-async def test_orders_meant_for_an_earlier_incarnation_overfill_nothing() -> None:
+async def test_orders_meant_for_an_earlier_incarnation_do_not_overfill_the_engine() -> None:
     async with world() as found:
         engine = await found.add_replica(Replica("llm", model="m", name="i-born", born=1000))
         await found.store.delete("servers", "i-llm")
--- a/tests/test_engineviews.py
+++ b/tests/test_engineviews.py
@@ -1,4 +1,4 @@
-"""Which adapters an engine is remembered to have held."""
+"""Tests of the view of an engine: remembered adapters, repeated updates and refusals."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from wigeonarch_gateway.messages import EngineUpdate
 
 
-def news(number: int, ready: list[str], loading: list[str]) -> EngineUpdate:
+def update(number: int, ready: list[str], loading: list[str]) -> EngineUpdate:
     return EngineUpdate(
         sender="h",
         endpoint="i-1",
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "warm"),
+    ("updates", "warm"),
     [
         ([(["a"], [])], {"a"}),
         ([([], ["a"]), (["a"], []), ([], [])], {"a"}),
@@ -31,21 +31,21 @@
         ([], set()),
     ],
 )
-def test_what_an_engine_was_seen_with(
-    told: list[tuple[list[str], list[str]]], warm: set[str]
+def test_adapters_that_were_loaded_before_are_warm(
+    updates: list[tuple[list[str], list[str]]], warm: set[str]
 ) -> None:
     views = EngineViews()
-    for number, (ready, loading) in enumerate(told, 1):
-        views.apply_update(news(number, ready, loading))
+    for number, (ready, loading) in enumerate(updates, 1):
+        views.apply_update(update(number, ready, loading))
     view = views.get("i-1")
     assert {name for name in "abc" if view.is_warm(AdapterKey("m", name, 1))} == warm
 
 
-def test_what_leaves_after_a_long_stay_is_the_last_to_be_forgotten() -> None:
+def test_an_adapter_unloaded_after_a_long_time_is_forgotten_last() -> None:
     views = EngineViews()
     for number in range(1, 2 * MAX_SEEN_ADAPTERS):
-        views.apply_update(news(number, ["stays", f"a{number}"], []))
-    views.apply_update(news(2 * MAX_SEEN_ADAPTERS, [], []))
+        views.apply_update(update(number, ["stays", f"a{number}"], []))
+    views.apply_update(update(2 * MAX_SEEN_ADAPTERS, [], []))
     view = views.get("i-1")
     assert view.is_warm(AdapterKey("m", "stays", 1))
     assert len(view.seen) == MAX_SEEN_ADAPTERS
@@ -60,29 +60,29 @@
 KEY = AdapterKey("m", "a", 1)
 
 
-def test_news_that_repeat_what_is_known_bring_back_what_an_engine_refused() -> None:
+def test_a_repeated_update_restores_an_adapter_that_the_engine_refused() -> None:
     views = EngineViews()
-    views.apply_update(news(1, ["a"], []))
+    views.apply_update(update(1, ["a"], []))
     views.note_missing_adapter("i-1", KEY, 0.0)
     assert not views.get("i-1").can_serve(KEY, 0.0)
-    views.apply_update(news(2, ["a"], []))
+    views.apply_update(update(2, ["a"], []))
     assert views.get("i-1").can_serve(KEY, 0.0)
 
 
 @pytest.mark.parametrize("known", [["a"], []])
-def test_news_that_repeat_what_is_known_end_loads_that_are_told_no_more(known: list[str]) -> None:
+def test_a_repeated_update_ends_loads_that_it_no_longer_lists(known: list[str]) -> None:
     views = EngineViews()
-    views.apply_update(news(1, known, []))
-    views.apply_update(news(2, known, ["b"]))
-    views.apply_update(news(3, known, []))
+    views.apply_update(update(1, known, []))
+    views.apply_update(update(2, known, ["b"]))
+    views.apply_update(update(3, known, []))
     view = views.get("i-1")
     assert not view.loading
     assert not view.loads_began
     assert set(view.ready) == {("m", name) for name in known}
 
 
-def test_the_first_news_of_an_engine_end_what_it_had_said_of_itself() -> None:
+def test_the_owners_first_update_replaces_the_engines_own_description() -> None:
     views = EngineViews()
     views.take_self_description("i-1", frozenset({"m"}), {("m", "a"): 1})
-    views.apply_update(news(1, [], []))
+    views.apply_update(update(1, [], []))
     assert not views.get("i-1").can_serve(KEY, 0.0)
--- a/tests/test_feeding.py
+++ b/tests/test_feeding.py
@@ -1,4 +1,4 @@
-"""Changes of the store told by several, late, twice and with gaps: the state is the store's."""
+"""Tests that a feed keeps the store's state although changes come late, twice or with gaps."""
 
 from __future__ import annotations
 
@@ -28,27 +28,31 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "changes", "since", "as_of", "news"),
+    ("known", "changes", "since", "as_of", "fresh_names"),
     [
         ({}, [put("a", 12)], 10, 12, ["a"]),
-        ({"a": 9}, [put("a", 9)], 8, 12, []),  # Told again.
-        ({}, [put("a", 9)], 8, 12, []),  # Removed before the state was read.
+        ({"a": 9}, [put("a", 9)], 8, 12, []),  # A repeated change.
+        ({}, [put("a", 9)], 8, 12, []),  # The object was removed before the state was read.
         ({"a": 9}, [removed("a", 9)], 10, 12, ["a"]),
         ({"a": 9}, [removed("a", 11)], 10, 12, ["a"]),
-        ({"a": 9}, [removed("a", 5)], 4, 12, []),  # Made anew since.
+        ({"a": 9}, [removed("a", 5)], 4, 12, []),  # The object was created again since.
         ({}, [removed("a", 5)], 4, 12, []),
         ({"a": 9}, [removed("a", 9), put("a", 12)], 10, 12, ["a", "a"]),
-        ({}, [put("a", 14)], 12, 14, None),  # What was between 10 and 12 is missing.
+        ({}, [put("a", 14)], 12, 14, None),  # The changes between 10 and 12 are missing.
     ],
 )
-def test_what_is_news(
-    known: dict[str, int], changes: list[Change], since: int, as_of: int, news: list[str] | None
+def test_only_new_changes_are_returned(
+    known: dict[str, int],
+    changes: list[Change],
+    since: int,
+    as_of: int,
+    fresh_names: list[str] | None,
 ) -> None:
     fresh = feed(**known).apply_changes(changes, since, as_of)
-    assert (None if fresh is None else [change.stored.name for change in fresh]) == news
+    assert (None if fresh is None else [change.stored.name for change in fresh]) == fresh_names
 
 
-def test_a_list_that_is_older_than_the_state_does_not_count() -> None:
+def test_a_list_that_is_older_than_the_state_is_ignored() -> None:
     found = feed(as_of=10)
     assert found.apply_list([], 9) is None
     assert found.as_of == 10
@@ -68,25 +72,25 @@
         ({"a": 9}, listed(b=13), [removed("a", 14), put("b", 13)]),
     ],
 )
-def test_a_list_is_told_as_what_differs(
+def test_a_list_is_passed_on_as_changes(
     known: dict[str, int], found: list[StoredObject], changes: list[Change]
 ) -> None:
-    teller = feed(**known)
-    assert teller.apply_list(found, 14) == changes
-    teller.retain(changes)
-    # A peer that has the state before it needs no list of its own.
+    sender = feed(**known)
+    assert sender.apply_list(found, 14) == changes
+    sender.retain(changes)
+    # A peer with the state before needs no list of its own.
     peer = feed(**known)
-    told = teller.changes_after(10)
-    assert told is not None
-    assert peer.apply_changes(told, 10, 14) == changes
+    retained = sender.changes_after(10)
+    assert retained is not None
+    assert peer.apply_changes(retained, 10, 14) == changes
     assert peer.apply_list(found, 14) == []
 
 
-def test_the_first_list_differs_from_nothing() -> None:
+def test_the_first_list_yields_no_changes() -> None:
     assert ChangeFeed().apply_list(listed(a=9), 10) == []
 
 
-def test_who_lacks_more_than_is_kept_must_ask_the_store() -> None:
+def test_a_peer_that_lacks_more_changes_than_are_retained_must_read_the_store() -> None:
     found = feed(as_of=10)
     for revision in range(11, 12 + MAX_RETAINED_CHANGES):
         change = put("a", revision)
@@ -98,31 +102,31 @@
     assert len(after) == MAX_RETAINED_CHANGES
 
 
-def test_a_peer_that_has_the_last_change_kept_needs_no_earlier_one() -> None:
-    teller, peer = feed(as_of=10), feed(as_of=10)
+def test_a_peer_with_the_last_retained_change_needs_no_earlier_one() -> None:
+    sender, peer = feed(as_of=10), feed(as_of=10)
     for revision, needed in ((12, True), (14, False), (16, True)):
-        up_to = teller.retained_up_to()
-        fresh = teller.apply_changes([put(f"o{revision}", revision)], revision - 2, revision)
+        up_to = sender.retained_up_to()
+        fresh = sender.apply_changes([put(f"o{revision}", revision)], revision - 2, revision)
         assert fresh
         if needed:
-            teller.retain(fresh)
+            sender.retain(fresh)
             assert peer.apply_changes(fresh, up_to, revision) == fresh
 
 
-def test_nothing_can_be_told_before_the_first_list() -> None:
+def test_a_feed_has_no_changes_before_the_first_list() -> None:
     assert ChangeFeed().changes_after(0) is None
     assert ChangeFeed().apply_changes([put("a", 2)], 0, 2) is None
 
 
 @dataclass
 class Mirror:
-    """A process with a state of its own, and what is on its way to it."""
+    """A process with its own state, and the changes in transit to it."""
 
     feed: ChangeFeed = field(default_factory=ChangeFeed)
     objects: dict[str, int] = field(default_factory=dict)
-    coming: list[tuple[list[Change], int, int]] = field(default_factory=list)
+    in_transit: list[tuple[list[Change], int, int]] = field(default_factory=list)
 
-    def take(self, changes: list[Change], since: int, as_of: int) -> None:
+    def apply(self, changes: list[Change], since: int, as_of: int) -> None:
         fresh = self.feed.apply_changes(changes, since, as_of) or []
         self.feed.retain(fresh)
         for change in fresh:
@@ -133,7 +137,7 @@
 
 
 class Stored:
-    """The store: all changes, by revision."""
+    """The store, with all changes by revision."""
 
     def __init__(self) -> None:
         self.log: list[tuple[int, Change]] = []
@@ -144,11 +148,11 @@
         return len(self.log)
 
     def write(self, name: str) -> None:
-        """Makes, changes or removes an object."""
+        """Creates, changes or removes an object."""
         at = self.revision + 1
         known = self.objects.get(name)
         if known is not None and at % 3 == 0:
-            # The event carries the object as it was last.
+            # The event carries the last state of the object.
             self.log.append((at, removed(name, known)))
             del self.objects[name]
             return
@@ -180,35 +184,35 @@
 
 @settings(max_examples=300, deadline=None)
 @given(STEPS)
-def test_each_state_is_that_of_the_store_at_its_revision(
+def test_each_state_equals_that_of_the_store_at_its_revision(
     steps: list[tuple[str, int, int]],
 ) -> None:
     store = Stored()
     mirrors = [Mirror(), Mirror(), Mirror()]
     for mirror in mirrors:
         mirror.feed.apply_list([], 0)
-    for what, number, pick in steps:
+    for step, number, pick in steps:
         mirror, other = mirrors[number], mirrors[(number + 1 + pick % 2) % 3]
         since = mirror.feed.as_of
         assert since is not None
-        if what == "write":
+        if step == "write":
             store.write("abc"[pick % 3])
-        elif what == "watch":
-            # The call goes out now; its answer comes in any order with what peers tell.
-            mirror.coming.append((store.since(since), since, store.revision))
-        elif what in ("answer", "push"):
-            # A peer asks with its state, or is told of news after the teller's last one.
-            asked = other.feed.as_of if what == "answer" else max(since - 1 - pick % 3, 0)
-            assert asked is not None
-            changes = mirror.feed.changes_after(asked)
+        elif step == "watch":
+            # The call is made now; its answer arrives in any order with the updates of peers.
+            mirror.in_transit.append((store.since(since), since, store.revision))
+        elif step in ("answer", "push"):
+            # A peer requests changes since its state, or gets those after an earlier revision.
+            revision = other.feed.as_of if step == "answer" else max(since - 1 - pick % 3, 0)
+            assert revision is not None
+            changes = mirror.feed.changes_after(revision)
             if changes is not None:
-                other.coming.append((changes, asked, max(asked, since)))
-        elif mirror.coming:
-            told = mirror.coming[pick % len(mirror.coming)]
-            if what != "twice":
-                mirror.coming.remove(told)
-            if what != "lose":
-                mirror.take(*told)
+                other.in_transit.append((changes, revision, max(revision, since)))
+        elif mirror.in_transit:
+            message = mirror.in_transit[pick % len(mirror.in_transit)]
+            if step != "twice":
+                mirror.in_transit.remove(message)
+            if step != "lose":
+                mirror.apply(*message)
         for each in mirrors:
             as_of = each.feed.as_of
             assert as_of is not None
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the store that another writer made: they name no endpoint, and the others hold."""
+"""Tests that invalid store entries of other writers are ignored and do not affect valid ones."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from wigeonarch_platform import documents, records
 from wigeonarch_platform.store import Store
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "service": "s",
     "address": "10.0.0.9:80",
     "zone": "b",
@@ -35,61 +35,61 @@
 }
 
 
-def but(**changes: Any) -> dict[str, Any]:
-    return {**GOOD, **changes}
+def changed(**changes: Any) -> dict[str, Any]:
+    return {**VALID, **changes}
 
 
 def without(name: str) -> dict[str, Any]:
-    return {key: value for key, value in GOOD.items() if key != name}
+    return {key: value for key, value in VALID.items() if key != name}
 
 
-FOREIGN: list[Any] = [
+INVALID: list[Any] = [
     None,
     "text",
     7,
     [],
-    [GOOD],
+    [VALID],
     {},
     without("service"),
     without("address"),
     without("zone"),
     without("slots"),
     without("state"),
-    but(service=""),
-    but(service=5),
-    but(service=None),
-    but(zone=["b"]),
-    but(address="10.0.0.9"),
-    but(address="10.0.0.9:"),
-    but(address=":80"),
-    but(address="10.0.0.9:0"),
-    but(address="10.0.0.9:99999"),
-    but(address="10.0.0.9:8\u0661"),
-    but(address="somewhere:80"),
-    but(address={"ip": "10.0.0.9"}),
-    but(slots=0),
-    but(slots=-4),
-    but(slots="6"),
-    but(slots=6.5),
-    but(slots=10**15),
-    but(state="paused"),
-    but(state=""),
-    but(state=True),
-    but(models="m"),
-    but(models=[{"version": 1}]),
-    but(models=[{"name": "m", "adapters": ["a1@x"]}]),
-    but(models=[{"name": "m", "adapters": [3]}]),
-    but(born="soon"),
-    but(born=None),
-    but(born=1.5),
-    but(born=-1),
-    but(born=True),
+    changed(service=""),
+    changed(service=5),
+    changed(service=None),
+    changed(zone=["b"]),
+    changed(address="10.0.0.9"),
+    changed(address="10.0.0.9:"),
+    changed(address=":80"),
+    changed(address="10.0.0.9:0"),
+    changed(address="10.0.0.9:99999"),
+    changed(address="10.0.0.9:8\u0661"),
+    changed(address="somewhere:80"),
+    changed(address={"ip": "10.0.0.9"}),
+    changed(slots=0),
+    changed(slots=-4),
+    changed(slots="6"),
+    changed(slots=6.5),
+    changed(slots=10**15),
+    changed(state="paused"),
+    changed(state=""),
+    changed(state=True),
+    changed(models="m"),
+    changed(models=[{"version": 1}]),
+    changed(models=[{"name": "m", "adapters": ["a1@x"]}]),
+    changed(models=[{"name": "m", "adapters": [3]}]),
+    changed(born="soon"),
+    changed(born=None),
+    changed(born=1.5),
+    changed(born=-1),
+    changed(born=True),
 ]
 
 
 @dataclass
-class Seen:
-    """What an instance knows by the store's answers."""
+class StoreReader:
+    """The endpoints that an instance knows from the store's answers."""
 
     store: Store
     endpoints: EndpointRegistry
@@ -112,43 +112,43 @@
 
 
 @asynccontextmanager
-async def instance() -> AsyncIterator[tuple[StoreStandIn, Seen]]:
+async def instance() -> AsyncIterator[tuple[StoreStandIn, StoreReader]]:
     standin = StoreStandIn()
     await standin.start()
     store = Store(standin.address)
-    # What is missing may be one that lapsed all the while; what can't be read is not missing.
+    # Missing entries count as lapsed for the whole test; an invalid entry is not a missing one.
     endpoints = EndpointRegistry(lambda zone: 1e12, lambda endpoint: None, lambda record: None)
     catalogue = Catalogue(records.decode_configuration, records.decode_version)
     intake = StoreUpdateHandlers(
         StoreOptions(), catalogue, endpoints, EngineViews(), records.decode_endpoint
     )
     try:
-        yield standin, Seen(store, endpoints, intake)
+        yield standin, StoreReader(store, endpoints, intake)
     finally:
         await store.close()
         await standin.stop()
 
 
-@pytest.mark.parametrize("spec", FOREIGN, ids=range(len(FOREIGN)))
-async def test_a_foreign_entry_names_no_endpoint(spec: Any) -> None:
-    async with instance() as (standin, seen):
+@pytest.mark.parametrize("spec", INVALID, ids=range(len(INVALID)))
+async def test_an_invalid_entry_is_no_endpoint(spec: Any) -> None:
+    async with instance() as (standin, reader):
         for name in ("i-1", "i-2"):
-            await standin.put("servers", name, GOOD)
+            await standin.put("servers", name, VALID)
         await standin.put("servers", "i-foreign", spec)
-        since = await seen.read()
-        assert seen.ready() == ["i-1", "i-2"]
-        # One that was good before names none from then on, by a watch and by a list.
+        since = await reader.read()
+        assert reader.ready() == ["i-1", "i-2"]
+        # An entry that becomes invalid is no endpoint any more, whether a watch or a list shows it.
         await standin.put("servers", "i-2", spec)
-        await seen.watch(since)
-        assert seen.ready() == ["i-1"]
-        assert seen.endpoints.get("i-2") is None
-        # And again when it is good again.
-        await standin.put("servers", "i-2", GOOD)
-        await seen.read()
-        assert seen.ready() == ["i-1", "i-2"]
+        await reader.watch(since)
+        assert reader.ready() == ["i-1"]
+        assert reader.endpoints.get("i-2") is None
+        # An entry that becomes valid again is an endpoint again.
+        await standin.put("servers", "i-2", VALID)
+        await reader.read()
+        assert reader.ready() == ["i-1", "i-2"]
         await standin.put("servers", "i-2", spec)
-        await seen.read()
-        assert seen.ready() == ["i-1"]
+        await reader.read()
+        assert reader.ready() == ["i-1"]
 
 
 @pytest.mark.parametrize(
@@ -162,32 +162,34 @@
         (b'"name": "i-foreign"', b'"title": ""'),
     ],
 )
-async def test_bytes_that_are_no_text_hide_nothing_else(spoiled: tuple[bytes, bytes]) -> None:
-    async with instance() as (standin, seen):
+async def test_undecodable_bytes_in_an_entry_do_not_hide_other_entries(
+    spoiled: tuple[bytes, bytes],
+) -> None:
+    async with instance() as (standin, reader):
         standin.spoiled = dict([spoiled])
-        await standin.put("servers", "i-1", GOOD)
-        since = await seen.read()
+        await standin.put("servers", "i-1", VALID)
+        since = await reader.read()
         await standin.put("servers", "i-foreign", {"state": "spoil"})
-        await standin.put("servers", "i-2", GOOD)
-        await seen.watch(since)
-        assert seen.ready() == ["i-1", "i-2"]
-        await seen.read()
-        assert seen.ready() == ["i-1", "i-2"]
+        await standin.put("servers", "i-2", VALID)
+        await reader.watch(since)
+        assert reader.ready() == ["i-1", "i-2"]
+        await reader.read()
+        assert reader.ready() == ["i-1", "i-2"]
 
 
-async def test_an_entry_that_stays_unreadable_is_logged_once(
+async def test_an_entry_that_stays_invalid_is_logged_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     logged: list[str] = []
     monkeypatch.setattr(
         "wigeonarch_gateway.store_updates.log", lambda event, *args, **more: logged.append(event)
     )
-    async with instance() as (standin, seen):
+    async with instance() as (standin, reader):
         await standin.put("servers", "i-foreign", 7)
         for _ in range(3):
-            await seen.read()
+            await reader.read()
         await standin.put("servers", "i-foreign", 8)
-        await seen.read()
+        await reader.read()
     assert logged == ["endpoint_unreadable"] * 2
 
 
@@ -199,23 +201,23 @@
 ITEM = JSON | st.builds(
     lambda name, spec: {"metadata": {"name": name, "revision": 3}, "spec": spec},
     st.text(max_size=8) | st.integers(),
-    JSON | st.builds(but, state=st.text(max_size=8) | st.integers(), slots=JSON),
+    JSON | st.builds(changed, state=st.text(max_size=8) | st.integers(), slots=JSON),
 )
 
 
 @given(before=st.lists(ITEM, max_size=4), after=st.lists(ITEM, max_size=4))
-def test_whatever_is_listed_beside_it_a_good_entry_is_found(
+def test_a_valid_entry_is_found_among_any_other_entries(
     before: list[Any], after: list[Any]
 ) -> None:
-    good = {"metadata": {"name": "i-good-one", "revision": 4}, "spec": GOOD}
-    body = json.dumps({"items": [*before, good, *after], "as_of": 9}).encode()
+    valid = {"metadata": {"name": "i-good-one", "revision": 4}, "spec": VALID}
+    body = json.dumps({"items": [*before, valid, *after], "as_of": 9}).encode()
     page = documents.read_document(body, documents.WireList)
     found = {one.name: one.spec for one in documents.read_objects(page.items, 0)}
-    assert found["i-good-one"] == GOOD
-    events = [*before, {"object": good, "deleted": False}, *after]
+    assert found["i-good-one"] == VALID
+    events = [*before, {"object": valid, "deleted": False}, *after]
     body = json.dumps({"events": events, "as_of": 9}).encode()
-    told = documents.read_document(body, documents.WireEvents)
-    changes = {change.stored.name: change for change in documents.read_events(told.events, 0)}
+    decoded = documents.read_document(body, documents.WireEvents)
+    changes = {change.stored.name: change for change in documents.read_events(decoded.events, 0)}
     record = records.decode_endpoint(changes["i-good-one"].stored)
     assert record.state is EndpointState.READY
 
@@ -231,13 +233,13 @@
         ("m.a1", None, False),
     ],
 )
-def test_a_foreign_version_changes_nothing(name: str, spec: Any, readable: bool) -> None:
+def test_an_invalid_adapter_version_is_ignored(name: str, spec: Any, readable: bool) -> None:
     catalogue = Catalogue(records.decode_configuration, records.decode_version)
     catalogue.take_version_list((StoredObject(name, 1, spec),))
     assert (catalogue.version("m", "a1") or catalogue.version("m", "")) == (2 if readable else 0)
 
 
-def test_only_one_object_holds_the_configuration() -> None:
+def test_only_the_object_named_main_is_the_configuration() -> None:
     with pytest.raises(ValueError):
         records.decode_configuration(
             StoredObject("other", 1, {"version": 9, "routes": [], "services": []})
@@ -245,19 +247,19 @@
 
 
 @pytest.mark.parametrize("spec", [None, 5, [], {}, {"address": 5}, {"holder": None}])
-def test_own_objects_that_another_writer_changed_name_nobody(spec: Any) -> None:
+def test_invalid_owner_objects_and_leases_are_ignored(spec: Any) -> None:
     found = StoredObject("i-1", 1, spec)
     assert read_owner(found) is None
     assert read_lease(found) is None
     assert Directory().take_leases([found], 0.0) == []
 
 
-def test_a_lease_without_an_address_to_use_is_no_instance() -> None:
+def test_a_lease_without_a_valid_address_is_ignored() -> None:
     spec = {"incarnation": "x", "address": "nowhere", "zone": "a"}
     assert Directory().take_leases([StoredObject("e", 1, spec)], 0.0) == []
 
 
-def test_what_adapters_an_entry_tells_of() -> None:
-    record = records.decode_endpoint(StoredObject("i-1", 1, GOOD))
-    assert (record.born, record.models[0].adapters) == (GOOD["born"], (AdapterKey("m", "a1", 3),))
+def test_an_entrys_adapters_and_start_time() -> None:
+    record = records.decode_endpoint(StoredObject("i-1", 1, VALID))
+    assert (record.born, record.models[0].adapters) == (VALID["born"], (AdapterKey("m", "a1", 3),))
     assert records.decode_endpoint(StoredObject("i-1", 1, without("born"))).born == 0
--- a/tests/test_gateway_events.py
+++ b/tests/test_gateway_events.py
@@ -1,4 +1,4 @@
-"""Events are passed on whole."""
+"""Tests that events are forwarded only when they are complete."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("parts", "passed", "last_id"),
+    ("parts", "forwarded", "last_id"),
     [
         ([b"id: 1\ndata: a\n\n"], b"id: 1\ndata: a\n\n", "1"),
         ([b"id: 1\nda", b"ta: a\n\nid: 2\n"], b"id: 1\ndata: a\n\n", "1"),
@@ -22,22 +22,22 @@
         ([b"id: 1"], b"", ""),
     ],
 )
-def test_splitting(parts: list[bytes], passed: bytes, last_id: str) -> None:
+def test_splitting_into_complete_events(parts: list[bytes], forwarded: bytes, last_id: str) -> None:
     splitter = EventSplitter()
-    assert b"".join(splitter.feed(part) for part in parts) == passed
+    assert b"".join(splitter.feed(part) for part in parts) == forwarded
     assert splitter.last_id == last_id
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_any_cuts_give_the_same_events(cuts: list[int]) -> None:
+def test_the_events_do_not_depend_on_where_the_stream_is_cut(cuts: list[int]) -> None:
     splitter = EventSplitter()
     marks = [0, *sorted(cuts), len(STREAM)]
-    passed = b"".join(splitter.feed(STREAM[a:b]) for a, b in pairwise(marks) if a < b)
-    assert passed == STREAM
+    forwarded = b"".join(splitter.feed(STREAM[a:b]) for a, b in pairwise(marks) if a < b)
+    assert forwarded == STREAM
     assert (splitter.last_id, splitter.count, splitter.take_partial()) == ("3", 3, b"")
 
 
-def test_what_broke_off_is_not_joined_with_what_follows() -> None:
+def test_an_incomplete_event_is_not_joined_with_the_next_stream() -> None:
     splitter = EventSplitter()
     splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
     splitter.discard_partial()
--- a/tests/test_gateway_members.py
+++ b/tests/test_gateway_members.py
@@ -1,4 +1,4 @@
-"""Which instances count as alive, and who may take an endpoint."""
+"""Tests which instances count as alive, and which may own an endpoint."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 def members(clock: Clock) -> Members:
     port = free_port("127.0.0.1")
     opts = Options("me", "a", "127.0.0.1", "127.0.0.1:1", "127.0.0.1:2", port, 3)
-    links = PeerSocket(f"127.0.0.1:{port}", lambda message: None)
+    socket = PeerSocket(f"127.0.0.1:{port}", lambda message: None)
     return Members(
         opts,
         "boot",
-        links,
+        socket,
         InFlightTracker(),
         lambda: (1, 1000),
         lambda name, revision, left: None,
@@ -56,39 +56,41 @@
     )
 
 
-def beat(name: str, zone: str = "a", left: int = 3000, leaving: bool = False) -> Heartbeat:
+def heartbeat(name: str, zone: str = "a", left: int = 3000, leaving: bool = False) -> Heartbeat:
     return Heartbeat(name, "boot", "127.0.0.1:9", zone, leaving, 5, left, [], [])
 
 
 @pytest.mark.parametrize(
-    ("zone", "heard", "witnesses"),
+    ("zone", "live", "witnesses"),
     [
         ("a", {"near": "a", "far": "b"}, ["near"]),
         ("b", {"near": "a", "far": "b"}, ["far"]),
-        ("c", {"near": "a", "far": "b"}, ["near", "far"]),  # No instance lives there.
-        ("a", {"far": "b"}, []),  # Of the own zone nobody else can tell.
+        ("c", {"near": "a", "far": "b"}, ["near", "far"]),  # The zone has no instance.
+        ("a", {"far": "b"}, []),  # Only instances of the same zone count for the own zone.
     ],
 )
-def test_who_would_have_shared_an_outage_of_a_zone(
-    members: Members, clock: Clock, zone: str, heard: dict[str, str], witnesses: list[str]
+def test_store_contacts_of_instances_that_would_share_an_outage_of_a_zone(
+    members: Members, clock: Clock, zone: str, live: dict[str, str], witnesses: list[str]
 ) -> None:
     since = {}
-    for number, (name, where) in enumerate(heard.items()):
-        said = beat(name, zone=where)
-        said.store_contact_ms, said.store_answered_ms = 5000 + number, 700
-        since[name] = clock.now - said.store_contact_ms / 1000
-        members.receive_heartbeat(said)
-    members.receive_heartbeat(beat("started", zone=zone))  # It has had no answer yet.
-    clock.now += 60.0  # What they said of the past holds.
-    told = members.roles.store_contacts(zone)
-    assert [contact.since for contact in told] == [since[n] for n in witnesses]
+    for number, (name, where) in enumerate(live.items()):
+        received = heartbeat(name, zone=where)
+        received.store_contact_ms, received.store_answered_ms = 5000 + number, 700
+        since[name] = clock.now - received.store_contact_ms / 1000
+        members.receive_heartbeat(received)
+    members.receive_heartbeat(heartbeat("started", zone=zone))  # The store has not answered it yet.
+    clock.now += 60.0  # What they reported of the past stays true.
+    contacts = members.roles.store_contacts(zone)
+    assert [contact.since for contact in contacts] == [since[n] for n in witnesses]
 
 
 def lease(name: str, revision: int, zone: str = "a") -> StoredObject:
     return StoredObject(name, revision, {"address": "127.0.0.1:9", "zone": zone})
 
 
-def test_a_lease_found_at_the_first_look_must_change_soon(members: Members, clock: Clock) -> None:
+def test_a_lease_in_the_first_list_counts_only_if_it_changes_soon(
+    members: Members, clock: Clock
+) -> None:
     members.discovery.take_leases([lease("dead", 5), lease("alive", 6)])
     assert members.roles.possible_successors({"a"}) == {"dead", "alive"}
     clock.now += LIST_INTERVAL
@@ -97,7 +99,9 @@
     assert members.roles.possible_successors({"a"}) == {"alive"}
 
 
-def test_who_was_alive_stays_so_while_the_store_is_away(members: Members, clock: Clock) -> None:
+def test_live_instances_stay_present_while_the_store_is_away(
+    members: Members, clock: Clock
+) -> None:
     members.discovery.take_leases([lease("first", 1)])
     members.discovery.take_leases([lease("first", 2)])
     for _ in range(5):
@@ -109,11 +113,11 @@
     assert not members.roles.possible_successors({"a"})
 
 
-def test_only_instances_of_the_zone_are_rivals_and_candidates(
+def test_only_instances_of_the_zone_are_possible_successors_and_owner_candidates(
     members: Members, clock: Clock
 ) -> None:
-    members.receive_heartbeat(beat("near"))
-    members.receive_heartbeat(beat("far", zone="b"))
+    members.receive_heartbeat(heartbeat("near"))
+    members.receive_heartbeat(heartbeat("far", zone="b"))
     assert members.roles.possible_successors({"a"}) == {"near"}
     assert members.roles.owner_candidates("a", include_self=True) == ["me", "near"]
     assert members.roles.owner_candidates("b", include_self=True) == []
@@ -121,11 +125,11 @@
         "far",
         "me",
         "near",
-    ]  # Nobody lives there.
+    ]  # The zone has no instance.
 
 
-def test_a_zone_that_fell_silent_is_left_alone_for_a_while(members: Members, clock: Clock) -> None:
-    members.receive_heartbeat(beat("far", zone="b"))
+def test_endpoints_of_a_silent_zone_are_not_taken_at_once(members: Members, clock: Clock) -> None:
+    members.receive_heartbeat(heartbeat("far", zone="b"))
     clock.now += ZONE_EMPTY_AFTER - 0.1
     assert members.roles.owner_candidates("b", include_self=True) == []
     clock.now += 0.2
@@ -133,15 +137,15 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "expected"),
+    ("received", "expected"),
     [
-        (beat("peer"), ["me", "peer"]),
-        (beat("peer", left=0), ["me"]),  # Its lease does not hold.
-        (beat("peer", leaving=True), ["me"]),
+        (heartbeat("peer"), ["me", "peer"]),
+        (heartbeat("peer", left=0), ["me"]),  # Its lease is not in force.
+        (heartbeat("peer", leaving=True), ["me"]),
     ],
 )
-def test_candidates(members: Members, told: Heartbeat, expected: list[str]) -> None:
-    members.receive_heartbeat(told)
+def test_owner_candidates(members: Members, received: Heartbeat, expected: list[str]) -> None:
+    members.receive_heartbeat(received)
     assert members.roles.owner_candidates("a", include_self=True) == expected
     assert members.roles.owner_candidates("a", include_self=False) == [
         name for name in expected if name != "me"
@@ -150,9 +154,9 @@
 
 def test_an_instance_that_just_started_is_not_preferred(members: Members, clock: Clock) -> None:
     clock.now += PREFERRED_AFTER
-    members.receive_heartbeat(beat("young"))
+    members.receive_heartbeat(heartbeat("young"))
     assert members.roles.owner_candidates("a", include_self=True) == ["me"]
     for _ in range(6):
         clock.now += 1.0
-        members.receive_heartbeat(beat("young"))
+        members.receive_heartbeat(heartbeat("young"))
     assert members.roles.owner_candidates("a", include_self=True) == ["me", "young"]
--- a/tests/test_gateway_messages.py
+++ b/tests/test_gateway_messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances: long ones are compressed, and what can't be read is no message."""
+"""Tests of the encoding of messages: compression, and frames that can't be decoded."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 @pytest.mark.parametrize(
     "message", [UpdateUnavailable("k", 1), FollowRequest("f", [(0, 12)], 3), routes(300)]
 )
-def test_what_is_sent_is_received(message: Message) -> None:
+def test_a_decoded_message_equals_the_encoded_one(message: Message) -> None:
     assert decode(encode(message)) == message
     assert decode(encode(Relay(encode(message)))) == Relay(encode(message))
 
 
-def test_a_long_message_that_repeats_itself_takes_a_fraction() -> None:
+def test_a_long_repetitive_message_is_compressed() -> None:
     plain = msgspec.msgpack.encode(routes(300))
     assert len(plain) > 5 * MIN_COMPRESSED_BYTES
     assert len(encode(routes(300))) < len(plain) / 4
@@ -49,17 +49,17 @@
         msgspec.msgpack.encode(CompressedFrame(b"not compressed")),
         msgspec.msgpack.encode(CompressedFrame(zlib.compress(b"\xc1"))),
         msgspec.msgpack.encode(CompressedFrame(zlib.compress(encode(routes(300))[:50]))),
-        # Once only: a message inside a message inside a message is not one of ours.
+        # Frames are compressed only once, so a nested one is not valid.
         msgspec.msgpack.encode(
             CompressedFrame(
                 zlib.compress(msgspec.msgpack.encode(CompressedFrame(zlib.compress(b"x"))))
             )
         ),
-        # A small frame that would fill the memory.
+        # A small frame that would exhaust the memory.
         msgspec.msgpack.encode(CompressedFrame(zlib.compress(bytes(20 * MAX_DECOMPRESSED_BYTES)))),
     ],
 )
-def test_what_cannot_be_read_is_no_message(frame: bytes) -> None:
+def test_an_invalid_frame_decodes_to_no_message(frame: bytes) -> None:
     assert decode(frame) is None
 
 
--- a/tests/test_gateway_older_owners.py
+++ b/tests/test_gateway_older_owners.py
@@ -1,4 +1,4 @@
-"""Who orders an engine after the store came back from a copy some seconds old."""
+"""Tests the ownership of an engine after the store came back from an older copy."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from gateway_world import HOLDING, World, until, until_true, world
 from standins.replica import Replica
 
-LATER = 100_000  # Revisions by which the copy is older than what is known.
+REVISIONS_LOST = 100_000  # Revisions by which the copy is behind the known state.
 
 
-async def noticed(found: World) -> None:
-    """Waits until all instances that live know that the store came back older."""
+async def wait_for_new_era(found: World) -> None:
+    """Waits until all live instances know that the store came back from an older copy."""
 
     async def known() -> bool:
         nodes = zip(found.nodes, found.tasks, strict=True)
@@ -21,9 +21,9 @@
     await until(known)
 
 
-def lose(found: World, holder: str) -> int:
-    """Ends an instance without a word; returns its number."""
-    number = int(holder.removeprefix("edge-"))
+def crash(found: World, instance: str) -> int:
+    """Ends an instance without any message; returns its number."""
+    number = int(instance.removeprefix("edge-"))
     found.tasks[number].cancel()
     for task in found.nodes[number]._tasks:
         task.cancel()
@@ -32,41 +32,41 @@
 
 
 def check_orders(engine: Replica) -> None:
-    """Checks that fences only rise, each is one holder's, and that no two holders take turns."""
+    """Checks that fencing tokens rise, each has one owner, and owners change after a pause."""
     fences = [fence for _, _, fence in engine.order_arrivals]
     assert fences == sorted(fences)
-    assert len({fence: holder for _, holder, fence in engine.order_arrivals}) == len(
-        {(fence, holder) for _, holder, fence in engine.order_arrivals}
+    assert len({fence: owner for _, owner, fence in engine.order_arrivals}) == len(
+        {(fence, owner) for _, owner, fence in engine.order_arrivals}
     )
     for (before, one, _), (after, other, _) in pairwise(engine.order_arrivals):
         assert one == other or after - before >= HOLDING.pause
 
 
 @pytest.mark.parametrize("copied", ["before_the_claim", "after_the_claim"])
-async def test_fences_rise_although_revisions_are_given_out_again(copied: str) -> None:
+async def test_fencing_tokens_rise_although_revisions_are_reused(copied: str) -> None:
     async with world(nodes=2) as found:
         engine = found.replicas[0]
-        found.store.revision += LATER
+        found.store.revision += REVISIONS_LOST
         if copied == "before_the_claim":
             await until_true(lambda: len(found.nodes[0]._endpoints.ready("llm")) == 1)
             found.store.take_copy()
-            found.store._copy = found.store._copy[0] - LATER, found.store._copy[1]
+            found.store._copy = found.store._copy[0] - REVISIONS_LOST, found.store._copy[1]
         await found.wait_until_served("/write/x", adapter="a1")
         first = found.recorded_owner("i-llm")
         if copied == "after_the_claim":
             found.store.take_copy()
-            found.store._copy = found.store._copy[0] - LATER, found.store._copy[1]
+            found.store._copy = found.store._copy[0] - REVISIONS_LOST, found.store._copy[1]
         await found.store.come_back_older()
-        await noticed(found)
+        await wait_for_new_era(found)
         await found.wait_until_served("/write/x", node=0, adapter="a2")
-        lost = lose(found, first)
+        crashed = crash(found, first)
         await until_true(lambda: found.recorded_owner("i-llm") not in ("", first))
-        await found.wait_until_served("/write/x", node=1 - lost, adapter="b1")
-        assert len({holder for _, holder, _ in engine.order_arrivals}) == 2
+        await found.wait_until_served("/write/x", node=1 - crashed, adapter="b1")
+        assert len({owner for _, owner, _ in engine.order_arrivals}) == 2
         check_orders(engine)
 
 
-async def test_a_holder_that_the_copy_forgot_writes_again_and_goes_on() -> None:
+async def test_an_owner_that_the_copy_lacks_writes_its_object_again_and_stays_owner() -> None:
     async with world(nodes=3) as found:
         engine = found.replicas[0]
         await until_true(lambda: len(found.nodes[0]._endpoints.ready("llm")) == 1)
@@ -80,5 +80,5 @@
             assert found.recorded_owner("i-llm") == first
             for node in range(3):
                 await found.wait_until_served("/write/x", node=node, adapter=f"b{drill}{node}")
-        assert {holder for _, holder, _ in engine.order_arrivals} == {first}
+        assert {owner for _, owner, _ in engine.order_arrivals} == {first}
         check_orders(engine)
--- a/tests/test_gateway_older_store.py
+++ b/tests/test_gateway_older_store.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy some seconds old."""
+"""Tests of a store that comes back from a copy that is some seconds old."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from standins.replica import Replica
 from wigeonarch_gateway.ports import EndpointState
 
-LATER = 100_000  # Revisions by which the copy is older than what is known.
+REVISIONS_LOST = 100_000  # Revisions by which the copy is behind the known state.
 
 
-async def move_on(found: World) -> None:
-    """Lets revisions move on by many, until all instances know of that in all kinds."""
-    found.store.revision += LATER
+async def advance_revisions(found: World) -> None:
+    """Advances the store's revision, and waits until all instances know it for all kinds."""
+    found.store.revision += REVISIONS_LOST
     least = found.store.revision
     await found.store.put("servers", "i-desk", {**found.replicas[1].record(), "n": least})
     await until_true(
@@ -24,8 +24,8 @@
     )
 
 
-async def in_force(found: World, version: int) -> None:
-    """Waits until all instances have a configuration."""
+async def wait_until_in_force(found: World, version: int) -> None:
+    """Waits until a configuration is in force on all instances."""
     await until_true(
         lambda: all(
             node._catalogue.table is not None and node._catalogue.table.version == version
@@ -34,34 +34,34 @@
     )
 
 
-# In a zone of eight, most follow others that watch the store.
+# In a zone of eight instances, most follow a watcher.
 @pytest.mark.parametrize("nodes", [1, 3, 8])
-async def test_a_configuration_with_a_revision_given_out_again_is_in_force(nodes: int) -> None:
+async def test_a_configuration_with_a_reused_revision_takes_effect(nodes: int) -> None:
     async with world(nodes=nodes) as found:
         for node in range(nodes):
             await found.wait_until_served("/ask/x", node=node)
         found.store.take_copy()
         await found.store.put("config", "main", configuration(2))
-        await in_force(found, 2)
-        await move_on(found)
+        await wait_until_in_force(found, 2)
+        await advance_revisions(found)
         await found.store.come_back_older()
         await found.store.put("config", "main", configuration(2))
         await found.store.put(
             "config", "main", configuration(3, route("new", "idempotent", "desk"))
         )
-        await in_force(found, 3)
+        await wait_until_in_force(found, 3)
         for node in range(nodes):
             assert (await found.send_request("/new/x", node=node)).status == 200
 
 
-async def test_a_leaving_with_a_revision_given_out_again_is_obeyed() -> None:
+async def test_an_endpoint_that_leaves_with_a_reused_revision_gets_no_requests() -> None:
     async with world(nodes=2) as found:
         other = await found.add_replica(Replica("desk", name="i-desk2"))
         await until_true(
             lambda: all(len(node._endpoints.ready("desk")) == 2 for node in found.nodes)
         )
         found.store.take_copy()
-        await move_on(found)
+        await advance_revisions(found)
         await found.store.come_back_older()
         await found.store.put("servers", other.name, other.record("draining"))
         await until_true(
@@ -76,18 +76,18 @@
         await found.store.put(
             "config", "main", configuration(2, route("new", "idempotent", "desk"))
         )
-        await in_force(found, 2)
+        await wait_until_in_force(found, 2)
         await found.store.come_back_older()
 
-        async def asked_again() -> bool:
+        async def know_new_era() -> bool:
             return all(node._store.era == found.store.era for node in found.nodes)
 
-        await until(asked_again)
+        await until(know_new_era)
         for node in range(2):
             assert (await found.send_request("/new/x", node=node)).status == 200
 
 
-async def test_an_endpoint_that_was_leaving_is_not_made_ready_by_the_copy() -> None:
+async def test_the_copy_does_not_make_a_leaving_endpoint_ready() -> None:
     async with world(nodes=2) as found:
         other = await found.add_replica(Replica("desk", name="i-desk2"))
         await until_true(
@@ -100,7 +100,7 @@
         )
         await found.store.come_back_older()
         await found.store.put("config", "main", configuration(2))
-        await in_force(found, 2)
+        await wait_until_in_force(found, 2)
         for node in found.nodes:
             record = node._endpoints.get(other.name)
             assert record is None or record.state is EndpointState.LEAVING
@@ -125,7 +125,7 @@
         assert all(len(node._endpoints.ready("desk")) == 2 for node in found.nodes)
 
 
-async def test_an_endpoint_that_was_written_again_late_is_back_at_once() -> None:
+async def test_an_endpoint_that_writes_its_entry_again_late_is_used_at_once() -> None:
     async with world(nodes=1) as found:
         found.store.take_copy()
         other = await found.add_replica(Replica("desk", name="i-desk2"))
@@ -140,8 +140,8 @@
         assert other.name not in endpoints._old_copy_records
 
 
-async def gone_and_copied(found: World) -> Replica:
-    """Has an endpoint that is gone listed again by the copy."""
+async def remove_and_restore_entry(found: World) -> Replica:
+    """Removes an endpoint whose entry then reappears in the copy; returns the endpoint."""
     other = await found.add_replica(Replica("desk", name="i-desk2"))
     await until_true(lambda: all(len(node._endpoints.ready("desk")) == 2 for node in found.nodes))
     found.store.take_copy()
@@ -152,13 +152,13 @@
     await until_true(
         lambda: all(other.name in node._endpoints._old_copy_records for node in found.nodes)
     )
-    await in_force(found, 2)
+    await wait_until_in_force(found, 2)
     return other
 
 
-async def test_an_endpoint_that_was_gone_is_not_brought_back_by_the_copy() -> None:
+async def test_an_entry_in_the_copy_does_not_bring_back_an_endpoint_that_was_gone() -> None:
     async with world(nodes=2) as found:
-        other = await gone_and_copied(found)
+        other = await remove_and_restore_entry(found)
         for _ in range(20):
             assert (await found.send_request("/ask/x")).status == 200
         assert other.arrived == []
@@ -170,11 +170,11 @@
 
 
 @pytest.mark.parametrize("written", [True, False])
-async def test_an_endpoint_that_was_gone_is_back_when_it_writes_or_its_entry_stays(
+async def test_an_endpoint_that_was_gone_is_used_again_if_it_writes_or_its_entry_stays(
     written: bool,
 ) -> None:
     async with world(nodes=2) as found:
-        other = await gone_and_copied(found)
+        other = await remove_and_restore_entry(found)
         if written:
             await found.store.put("servers", other.name, {**other.record(), "n": 1})
         await until_true(
--- a/tests/test_gateway_quarantine.py
+++ b/tests/test_gateway_quarantine.py
@@ -1,4 +1,4 @@
-"""A request that ends the endpoints that run it, through several instances and their restarts."""
+"""A request that crashes endpoints, sent through several instances and after their restarts."""
 
 from __future__ import annotations
 
@@ -14,177 +14,181 @@
 from wigeonarch_gateway.messages import CrashReport
 from wigeonarch_gateway.suspects import BATCH_DELAY
 
-FATAL = b"ends whoever runs it"
+FATAL_BODY = b"ends whoever runs it"
 SPARE_ENGINES = 3
-ENDS_MOST = 3  # Endpoints that may end before a request is known for it.
-MORE_MOST = 3  # Endpoints that it may reach after that, by what was on its way.
+CRASHES_TO_QUARANTINE = 3  # Endpoints that may crash before the request is quarantined.
+MAX_EXTRA_CRASHES = 3  # Endpoints that may crash after that, by dispatches that were under way.
 PATH = "/write/x"
-KEY = content_key("POST", HOST, PATH, FATAL)
+FATAL_KEY = content_key("POST", HOST, PATH, FATAL_BODY)
 
 
-async def fragile_engines(found: World) -> list[Replica]:
-    """Makes all engines of a world, and some more, end under the fatal request."""
-    engines = [found.replicas[0]]
+async def fragile_engines(deployment: World) -> list[Replica]:
+    """Returns the deployment's engines and some more, which all crash on the fatal request."""
+    engines = [deployment.replicas[0]]
     for number in range(SPARE_ENGINES):
-        engines.append(await found.add_replica(Replica("llm", model="m", name=f"i-llm{number}")))
+        engines.append(
+            await deployment.add_replica(Replica("llm", model="m", name=f"i-llm{number}"))
+        )
     for engine in engines:
         engine.born = 1
-        engine.fatal = FATAL
-        engine.on_end = partial(enter, found, engine)
-        await enter(found, engine)
-    for node in range(len(found.nodes)):
-        await found.wait_until_served(PATH, node=node)
+        engine.fatal = FATAL_BODY
+        engine.on_end = partial(write_entry, deployment, engine)
+        await write_entry(deployment, engine)
+    for node in range(len(deployment.nodes)):
+        await deployment.wait_until_served(PATH, node=node)
     return engines
 
 
-async def enter(found: World, engine: Replica) -> None:
-    """Enters an engine into the list as it is now."""
-    await found.store.put("servers", engine.name, engine.record())
+async def write_entry(deployment: World, engine: Replica) -> None:
+    """Writes an engine's entry into the store."""
+    await deployment.store.put("servers", engine.name, engine.record())
 
 
-def ends(engines: list[Replica]) -> int:
-    """Returns how often an engine ended."""
+def crash_count(engines: list[Replica]) -> int:
+    """Returns how often engines crashed."""
     return sum(engine.ends for engine in engines)
 
 
-async def ask_until_known(
-    found: World, engines: list[Replica], nodes: Sequence[int] | None = None
+async def send_until_quarantined(
+    deployment: World, engines: list[Replica], nodes: Sequence[int] | None = None
 ) -> None:
-    """Sends the fatal request to instances in turn until enough endpoints ended."""
-    turns = itertools.cycle(range(len(found.nodes)) if nodes is None else nodes)
+    """Sends the fatal request to instances in turn until enough endpoints crashed."""
+    turns = itertools.cycle(range(len(deployment.nodes)) if nodes is None else nodes)
 
     async def enough() -> bool:
-        await found.send_request(PATH, FATAL, node=next(turns), X_Model="m")
-        return ends(engines) >= ENDS_MOST
+        await deployment.send_request(PATH, FATAL_BODY, node=next(turns), X_Model="m")
+        return crash_count(engines) >= CRASHES_TO_QUARANTINE
 
     await until(enough)
 
 
-async def is_turned_away(found: World, engines: list[Replica], node: int) -> bool:
-    """Sends the fatal request once; tells whether it was refused and no engine ended."""
-    before = ends(engines)
-    answer = await found.send_request(PATH, FATAL, node=node, X_Model="m")
-    return answer.status == 503 and ends(engines) == before
+async def is_refused_without_crash(deployment: World, engines: list[Replica], node: int) -> bool:
+    """Sends the fatal request once; tells whether it was refused and no engine crashed."""
+    before = crash_count(engines)
+    answer = await deployment.send_request(PATH, FATAL_BODY, node=node, X_Model="m")
+    return answer.status == 503 and crash_count(engines) == before
 
 
-async def test_a_request_that_ended_three_endpoints_is_sent_to_no_other_by_any_instance() -> None:
-    async with world(nodes=3) as found:
-        engines = await fragile_engines(found)
-        await ask_until_known(found, engines)
-        for node in range(len(found.nodes)):
-            await until(partial(is_turned_away, found, engines, node))
-        known = ends(engines)
-        assert known <= ENDS_MOST + MORE_MOST
+async def test_request_that_crashed_three_endpoints_is_sent_to_no_other_by_any_instance() -> None:
+    async with world(nodes=3) as deployment:
+        engines = await fragile_engines(deployment)
+        await send_until_quarantined(deployment, engines)
+        for node in range(len(deployment.nodes)):
+            await until(partial(is_refused_without_crash, deployment, engines, node))
+        crashes = crash_count(engines)
+        assert crashes <= CRASHES_TO_QUARANTINE + MAX_EXTRA_CRASHES
         for node in (0, 1, 2, 2, 1, 0):
-            assert await is_turned_away(found, engines, node)
-        await found.wait_until_served(PATH, node=1)
-        assert ends(engines) == known
-
-
-async def test_it_is_remembered_when_all_instances_are_started_anew() -> None:
-    async with world(nodes=2) as found:
-        engines = await fragile_engines(found)
-        await ask_until_known(found, engines)
-        for running in found.nodes:
-            running.stop()
-        for task in found.tasks:
+            assert await is_refused_without_crash(deployment, engines, node)
+        await deployment.wait_until_served(PATH, node=1)
+        assert crash_count(engines) == crashes
+
+
+async def test_crashes_are_remembered_over_a_restart_of_all_instances() -> None:
+    async with world(nodes=2) as deployment:
+        engines = await fragile_engines(deployment)
+        await send_until_quarantined(deployment, engines)
+        for old_node in deployment.nodes:
+            old_node.stop()
+        for task in deployment.tasks:
             await task
-        found.nodes.clear()
-        found.options.clear()
-        found.tasks.clear()
+        deployment.nodes.clear()
+        deployment.options.clear()
+        deployment.tasks.clear()
         for number in (2, 3):
-            await found.add_node(number)
-        for node in range(len(found.nodes)):
-            await found.wait_until_served(PATH, node=node)
-            await until(partial(is_turned_away, found, engines, node))
-        assert ends(engines) <= ENDS_MOST + MORE_MOST
+            await deployment.add_node(number)
+        for node in range(len(deployment.nodes)):
+            await deployment.wait_until_served(PATH, node=node)
+            await until(partial(is_refused_without_crash, deployment, engines, node))
+        assert crash_count(engines) <= CRASHES_TO_QUARANTINE + MAX_EXTRA_CRASHES
 
 
 @pytest.mark.parametrize("cut", [False, True], ids=["hears-peers", "hears-only-the-store"])
-async def test_an_instance_that_saw_no_end_itself_turns_it_away_too(cut: bool) -> None:
-    async with world(nodes=2) as found:
-        engines = await fragile_engines(found)
+async def test_instance_that_saw_no_crash_itself_quarantines_the_request(cut: bool) -> None:
+    async with world(nodes=2) as deployment:
+        engines = await fragile_engines(deployment)
         if cut:
-            links = found.nodes[1]._links
-            hear = links._deliver
-            links._deliver = lambda m: None if isinstance(m, CrashReport) else hear(m)
-        await ask_until_known(found, engines, [0])
-        await until(partial(is_refused, found, 1))
-        assert ends(engines) <= ENDS_MOST + MORE_MOST
-
-
-async def is_refused(found: World, node: int) -> bool:
-    """Tells whether an instance holds the fatal request back, without sending it there."""
-    return found.nodes[node]._suspects.quarantine_left(KEY) > 0.0
-
-
-async def test_an_instance_that_joins_later_turns_it_away() -> None:
-    async with world(nodes=1) as found:
-        engines = await fragile_engines(found)
-        await ask_until_known(found, engines)
-        known = ends(engines)
-        await found.add_node(1)
-        await found.wait_until_served(PATH, node=1)
-        await until(partial(is_refused, found, 1))
-        assert await is_turned_away(found, engines, 1)
-        assert ends(engines) == known
-
-
-async def test_one_end_that_was_seen_before_an_instance_joined_counts_there() -> None:
-    async with world(nodes=1) as found:
-        engines = await fragile_engines(found)
-        await found.send_request(PATH, FATAL, X_Model="m")
-        assert ends(engines) == 1
-        await asyncio.sleep(2 * BATCH_DELAY)  # Whoever runs now has been told.
-        await found.add_node(1)
-        joined = found.nodes[1]._suspects
-
-        async def told() -> bool:
-            return joined.crash_count(KEY) == 1
-
-        await until(told)
-
-
-async def test_one_that_waits_for_an_adapter_is_not_sent_after_news_of_its_ends() -> None:
-    async with world(nodes=1) as found:
-        engines = await fragile_engines(found)
-        await found.wait_until_served(PATH, adapter="usual")
+            links = deployment.nodes[1]._links
+            deliver = links._deliver
+            links._deliver = lambda m: None if isinstance(m, CrashReport) else deliver(m)
+        await send_until_quarantined(deployment, engines, [0])
+        await until(partial(is_quarantined, deployment, 1))
+        assert crash_count(engines) <= CRASHES_TO_QUARANTINE + MAX_EXTRA_CRASHES
+
+
+async def is_quarantined(deployment: World, node: int) -> bool:
+    """Tells whether an instance has quarantined the fatal request, without sending it there."""
+    return deployment.nodes[node]._suspects.quarantine_left(FATAL_KEY) > 0.0
+
+
+async def test_instance_that_joins_later_quarantines_the_request() -> None:
+    async with world(nodes=1) as deployment:
+        engines = await fragile_engines(deployment)
+        await send_until_quarantined(deployment, engines)
+        crashes = crash_count(engines)
+        await deployment.add_node(1)
+        await deployment.wait_until_served(PATH, node=1)
+        await until(partial(is_quarantined, deployment, 1))
+        assert await is_refused_without_crash(deployment, engines, 1)
+        assert crash_count(engines) == crashes
+
+
+async def test_single_crash_before_an_instance_joined_counts_there() -> None:
+    async with world(nodes=1) as deployment:
+        engines = await fragile_engines(deployment)
+        await deployment.send_request(PATH, FATAL_BODY, X_Model="m")
+        assert crash_count(engines) == 1
+        await asyncio.sleep(2 * BATCH_DELAY)  # The crash was reported before the newcomer starts.
+        await deployment.add_node(1)
+        newcomer = deployment.nodes[1]._suspects
+
+        async def crash_known() -> bool:
+            return newcomer.crash_count(FATAL_KEY) == 1
+
+        await until(crash_known)
+
+
+async def test_request_waiting_for_an_adapter_is_not_sent_after_crashes_were_reported() -> None:
+    async with world(nodes=1) as deployment:
+        engines = await fragile_engines(deployment)
+        await deployment.wait_until_served(PATH, adapter="usual")
         for engine in engines:
             engine.load_time = 0.5
-        waiting = asyncio.create_task(found.send_request(PATH, FATAL, adapter="rare"))
+        waiting = asyncio.create_task(deployment.send_request(PATH, FATAL_BODY, adapter="rare"))
 
         async def loading() -> bool:
             return any(engine._pending for engine in engines)
 
         await until(loading)
-        names = [f"gone{number}@1" for number in range(ENDS_MOST)]
-        found.nodes[0]._suspects.receive_report(CrashReport("peer", [], [], [(KEY, names)]))
+        names = [f"gone{number}@1" for number in range(CRASHES_TO_QUARANTINE)]
+        deployment.nodes[0]._suspects.receive_report(
+            CrashReport("peer", [], [], [(FATAL_KEY, names)])
+        )
         assert (await waiting).status == 503
         arrived = [seen.body for engine in engines for seen in engine.arrived]
-        assert FATAL not in arrived
+        assert FATAL_BODY not in arrived
 
 
-async def test_a_refusal_says_when_to_come_back_and_takes_nothing_of_others() -> None:
-    async with world() as found:
-        engines = await fragile_engines(found)
-        await ask_until_known(found, engines)
-        answer = await found.send_request(PATH, FATAL, X_Model="m")
+async def test_refusal_has_retry_after_and_does_not_affect_other_requests() -> None:
+    async with world() as deployment:
+        engines = await fragile_engines(deployment)
+        await send_until_quarantined(deployment, engines)
+        answer = await deployment.send_request(PATH, FATAL_BODY, X_Model="m")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 60.0
-        assert (await found.send_request(PATH, b"another body", X_Model="m")).status == 200
-        assert "wigeonarch_gateway_quarantined_total 1.0" in await found.metrics()
+        assert (await deployment.send_request(PATH, b"another body", X_Model="m")).status == 200
+        assert "wigeonarch_gateway_quarantined_total 1.0" in await deployment.metrics()
 
 
-async def test_a_request_that_ran_whole_between_the_ends_is_served_on() -> None:
-    async with world() as found:
-        engines = await fragile_engines(found)
+async def test_request_that_completed_between_crashes_is_still_served() -> None:
+    async with world() as deployment:
+        engines = await fragile_engines(deployment)
         for engine in engines:
             engine.fatal = b""
         served = 0
         for engine in engines * 2:
             engine.trouble = Trouble.CUT
-            await found.send_request(PATH, FATAL, X_Model="m")
+            await deployment.send_request(PATH, FATAL_BODY, X_Model="m")
             engine.trouble = Trouble.NONE
-            served += (await found.send_request(PATH, FATAL, X_Model="m")).status == 200
-        assert not await is_refused(found, 0)
+            served += (await deployment.send_request(PATH, FATAL_BODY, X_Model="m")).status == 200
+        assert not await is_quarantined(deployment, 0)
         assert served
--- a/tests/test_gateway_sharing.py
+++ b/tests/test_gateway_sharing.py
@@ -1,4 +1,4 @@
-"""Some instances of a zone watch the store for the others: what that saves, and without them."""
+"""One instance of a large zone watches the store for the others, also through failures."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 KIND = ObjectKind.ENDPOINTS
 LAPSE = StoreOptions().lapse
-INSTANCES = 8  # Of which three are keepers, and one of these watches.
+INSTANCES = 8  # Three of them are delegates, and one of these watches the store.
 
 
 def followers(found: World) -> list[Node]:
@@ -28,21 +28,21 @@
     return [node for node in found.nodes if not node._sharing.following]
 
 
-def keepers(found: World) -> list[Node]:
+def delegates(found: World) -> list[Node]:
     names = found.nodes[0]._members.roles.delegates()
     return [node for node in found.nodes if node._opts.instance in names]
 
 
-async def settled(found: World) -> list[Node]:
-    """Waits until one instance watches for all others; returns those."""
+async def wait_for_followers(found: World) -> list[Node]:
+    """Waits until all instances but one follow a watcher; returns the followers."""
 
-    def told() -> bool:
-        lately = [
+    def all_follow() -> bool:
+        is_current = [
             all(map(node._sharing.is_kept_current, node._sharing.kinds())) for node in found.nodes
         ]
-        return lately.count(True) == INSTANCES - 1 and len(watchers(found)) == 1
+        return is_current.count(True) == INSTANCES - 1 and len(watchers(found)) == 1
 
-    await until_true(told)
+    await until_true(all_follow)
     return followers(found)
 
 
@@ -51,42 +51,42 @@
     return {0 if table is None else table.version for table in tables}
 
 
-def asked(node: Node) -> int:
-    """Returns how often an instance has asked the store what changed, or what is so."""
+def count_store_reads(node: Node) -> int:
+    """Returns the number of watch and list calls that an instance has made."""
     return node._store.calls["watch"] + node._store.calls["list"]
 
 
-def silence(node: Node) -> None:
-    """Ends an instance without a word, as a power cut does."""
+def crash(node: Node) -> None:
+    """Ends an instance without any message, as a power cut does."""
     for task in node._tasks:
         task.cancel()
     node._links.close()
 
 
-async def test_followers_learn_of_all_changes_without_a_watch() -> None:
+async def test_followers_get_all_changes_without_a_watch_of_their_own() -> None:
     async with world(nodes=INSTANCES) as found:
-        told = await settled(found)
-        await asyncio.sleep(1.0)  # A watch that was under way ends.
-        before = [node._store.calls["watch"] for node in told]
+        follower_nodes = await wait_for_followers(found)
+        await asyncio.sleep(1.0)  # A watch call in progress ends.
+        before = [node._store.calls["watch"] for node in follower_nodes]
         await found.store.put("config", "main", configuration(2))
         await until_true(lambda: versions(found.nodes) == {2})
         leaving = {**found.replicas[1].record(), "state": "draining"}
         await found.store.put("servers", "i-desk", leaving)
 
-        def obeyed() -> bool:
+        def is_leaving_everywhere() -> bool:
             records = [node._endpoints.get("i-desk") for node in found.nodes]
             return all(r is not None and r.state is EndpointState.LEAVING for r in records)
 
-        await until_true(obeyed)
+        await until_true(is_leaving_everywhere)
         await found.store.delete("servers", "i-desk")
         await until_true(lambda: all(n._endpoints.get("i-desk") is None for n in found.nodes))
-        assert [node._store.calls["watch"] for node in told] == before
+        assert [node._store.calls["watch"] for node in follower_nodes] == before
 
 
-async def test_only_keepers_hold_leases_and_engines() -> None:
+async def test_only_delegates_have_leases_and_own_engines() -> None:
     async with world(nodes=INSTANCES) as found:
-        await settled(found)
-        names = [node._opts.instance for node in keepers(found)]
+        await wait_for_followers(found)
+        names = [node._opts.instance for node in delegates(found)]
         assert len(names) == 3
         others = [node for node in found.nodes if node._opts.instance not in names]
         await until_true(lambda: not any(node._own_lease_left()[1] for node in others))
@@ -94,43 +94,43 @@
         assert found.recorded_owner("i-llm") in names
 
 
-async def test_without_a_keeper_a_follower_watches_for_itself() -> None:
+async def test_a_follower_without_a_watcher_watches_the_store_itself() -> None:
     async with world(nodes=INSTANCES) as found:
-        await settled(found)
-        lost = keepers(found)
-        for keeper in lost:
-            silence(keeper)
+        await wait_for_followers(found)
+        lost = delegates(found)
+        for delegate in lost:
+            crash(delegate)
         left = [node for node in found.nodes if node not in lost]
         await found.store.put("config", "main", configuration(2))
         await until_true(lambda: versions(left) == {2})
-        # Those that are left are too few to need a keeper now.
+        # The remaining instances are too few to need a watcher.
         await until_true(lambda: not any(node._sharing.following for node in left))
 
 
-async def test_a_keeper_that_lost_the_store_is_not_relied_on() -> None:
+async def test_a_watcher_that_lost_the_store_is_not_relied_on() -> None:
     async with world(nodes=INSTANCES) as found:
-        await settled(found)
-        cut = keepers(found)
-        for keeper in cut:
-            cut_from_store(keeper)
-        told = [node for node in found.nodes if node not in cut]
+        await wait_for_followers(found)
+        cut = delegates(found)
+        for delegate in cut:
+            cut_from_store(delegate)
+        follower_nodes = [node for node in found.nodes if node not in cut]
         await found.store.put("config", "main", configuration(2))
-        await until_true(lambda: versions(told) == {2})
+        await until_true(lambda: versions(follower_nodes) == {2})
 
 
-async def test_in_an_outage_followers_ask_ever_less_often() -> None:
+async def test_followers_call_the_store_less_and_less_often_in_an_outage() -> None:
     async with world(nodes=INSTANCES) as found:
-        told = await settled(found)
+        follower_nodes = await wait_for_followers(found)
         found.store.trouble = Trouble.BUSY
         await until_true(lambda: all(node._store_state.is_away for node in found.nodes))
-        before = [asked(node) for node in found.nodes]
+        before = [count_store_reads(node) for node in found.nodes]
         await asyncio.sleep(2.0)
         calls = {
-            node._opts.instance: asked(node) - old
+            node._opts.instance: count_store_reads(node) - old
             for node, old in zip(found.nodes, before, strict=True)
         }
-        most = max(calls[node._opts.instance] for node in told)
-        asking = [node for node in found.nodes if node not in told]
+        most = max(calls[node._opts.instance] for node in follower_nodes)
+        asking = [node for node in found.nodes if node not in follower_nodes]
         assert len(asking) == 1
         assert all(calls[node._opts.instance] > most for node in asking)
         found.store.trouble = Trouble.NONE
@@ -138,9 +138,9 @@
         await until_true(lambda: versions(found.nodes) == {2})
 
 
-async def test_endpoints_that_lapse_in_an_outage_stay_in_use_at_followers() -> None:
+async def test_followers_keep_using_endpoints_whose_entries_expire_in_an_outage() -> None:
     async with world(nodes=INSTANCES) as found:
-        await settled(found)
+        await wait_for_followers(found)
         dropped: list[str] = []
         for node in found.nodes:
             node._endpoints.on_gone = dropped.append
@@ -152,38 +152,40 @@
         await until_true(lambda: not any(node._store_state.is_away for node in watching))
         await found.store.put("servers", "i-desk", found.replicas[1].record())
         await until_true(lambda: not any(node._store_state.is_away for node in found.nodes))
-        await asyncio.sleep(1.5)  # Longer than what is missing is kept.
+        await asyncio.sleep(1.5)  # Longer than a missing endpoint is kept.
         assert not dropped
         assert all(node._endpoints.get("i-desk") is not None for node in found.nodes)
 
 
-async def test_a_follower_whose_messages_are_lost_watches_for_itself() -> None:
+async def test_a_follower_whose_messages_are_lost_watches_the_store_itself() -> None:
     async with world(nodes=INSTANCES) as found:
-        told = await settled(found)
-        for node in told:
-            node._links._transport = None  # It hears, and says nothing any more.
+        follower_nodes = await wait_for_followers(found)
+        for node in follower_nodes:
+            node._links._transport = None  # It still receives, but can no longer send.
         await found.store.put("config", "main", configuration(2))
-        await until_true(lambda: versions(told) == {2})
+        await until_true(lambda: versions(follower_nodes) == {2})
 
 
 async def test_dropped_history_and_lost_messages_leave_no_gap() -> None:
     async with world(nodes=INSTANCES) as found:
-        told = await settled(found)
-        deliver = {id(node): node._links._deliver for node in told}
-        for node in told:
+        follower_nodes = await wait_for_followers(found)
+        deliver = {id(node): node._links._deliver for node in follower_nodes}
+        for node in follower_nodes:
             node._links._deliver = lambda message: None
         await found.store.put("config", "main", configuration(2))
         await found.store.forget_history()
-        await until_true(lambda: versions([n for n in found.nodes if n not in told]) == {2})
-        for node in told:
+        await until_true(
+            lambda: versions([n for n in found.nodes if n not in follower_nodes]) == {2}
+        )
+        for node in follower_nodes:
             node._links._deliver = deliver[id(node)]
-        await until_true(lambda: versions(told) == {2})
+        await until_true(lambda: versions(follower_nodes) == {2})
 
 
 def follower(
-    opts: StoreOptions | None = None, known: StoreContact | None = None
+    opts: StoreOptions | None = None, store_contact: StoreContact | None = None
 ) -> tuple[WatchSharing, list[bytes]]:
-    """Returns the sharing of an instance that follows `k` and has the state of revision 10."""
+    """Returns the `WatchSharing` of a follower of `k` at revision 10, and its sent frames."""
     sent: list[bytes] = []
 
     def send(name: str, frame: bytes) -> bool:
@@ -191,7 +193,7 @@
         return True
 
     sharing = WatchSharing(
-        "me", opts or StoreOptions(), lambda: ["k"], send, known or new_store_contact()
+        "me", opts or StoreOptions(), lambda: ["k"], send, store_contact or new_store_contact()
     )
     sharing.add_kind(KIND, lambda change: True)
     sharing.feed(KIND).apply_list([], 10)
@@ -200,26 +202,26 @@
 
 
 def message(since: int, as_of: int, age: float = 0.0) -> StoreUpdate:
-    """Returns an answer to the first word of `follower`."""
+    """Returns the reply to the first request of `follower`."""
     age_ms = int(age * 1000)
     return StoreUpdate("k", KINDS.index(KIND), since, as_of, age_ms, False, [], in_reply_to=1)
 
 
-@pytest.mark.parametrize(("since", "lately"), [(10, True), (8, True), (12, False)])
-def test_a_message_with_a_gap_before_it_does_not_bring_a_follower_up_to_date(
-    since: int, lately: bool
+@pytest.mark.parametrize(("since", "is_current"), [(10, True), (8, True), (12, False)])
+def test_an_update_after_a_gap_does_not_bring_a_follower_up_to_date(
+    since: int, is_current: bool
 ) -> None:
     sharing, _ = follower()
     sharing.receive_update(message(since, 14))
-    assert sharing.is_kept_current(KIND) is lately
-    # After it is known that the keeper lacks what is needed, only a message without a gap counts.
+    assert sharing.is_kept_current(KIND) is is_current
+    # Once the watcher lacks needed changes, only an update without a gap counts.
     sharing.receive_unavailable(UpdateUnavailable("k", KINDS.index(KIND)))
     assert not sharing.is_kept_current(KIND)
     sharing.receive_update(message(30, 31))
     assert not sharing.is_kept_current(KIND)
 
 
-def test_a_keeper_says_nothing_of_the_stores_return_before_it_has_read_what_it_missed() -> None:
+def test_a_watcher_reports_the_stores_return_only_after_reading_what_it_missed() -> None:
     sharing, sent = follower()
     sharing.answer_follower(FollowRequest("f", []))
     sharing.note_store_failure(KIND)
@@ -232,34 +234,38 @@
     ("relied_on", "age", "outage"),
     [
         (True, LAPSE, True),
-        (True, LAPSE - 0.5, False),  # In less time no entry lapses: what is removed, is gone.
+        (True, LAPSE - 0.5, False),  # No entry expires in less time, so removed endpoints are gone.
         (True, 0.0, False),
         (False, LAPSE, False),
     ],
 )
-def test_only_what_a_keeper_was_relied_on_for_may_have_been_missed(
+def test_a_lost_watcher_counts_as_an_outage_only_if_it_was_relied_on(
     relied_on: bool, age: float, outage: bool
 ) -> None:
-    # A bound that lets a follower rely on knowledge of that age.
-    known = new_store_contact()
-    sharing, _ = follower(StoreOptions(propagation=PropagationBounds(endpoints=2 * LAPSE)), known)
+    # With this bound a follower relies on state of that age.
+    store_contact = new_store_contact()
+    sharing, _ = follower(
+        StoreOptions(propagation=PropagationBounds(endpoints=2 * LAPSE)), store_contact
+    )
     if relied_on:
         sharing.receive_update(message(10, 12, age))
     sharing.receive_update(StoreUpdate("k", KINDS.index(KIND), 12, 12, 0, True, []))
     assert not sharing.following
-    known.record_failure(monotonic())  # Its own watch fails, then is answered twice.
+    store_contact.record_failure(monotonic())  # Its own watch fails, then gets two answers.
     for _ in range(2):
-        known.record_answer(monotonic())
+        store_contact.record_answer(monotonic())
         sharing.note_store_answer(KIND)
-    assert (known.may_lapse_until([]) > monotonic()) is outage
+    assert (store_contact.may_lapse_until([]) > monotonic()) is outage
 
 
 @pytest.mark.parametrize(
-    ("age", "vouched"), [(0.5, True), (StoreOptions().propagation.endpoints, False)]
+    ("age", "is_confirmed"), [(0.5, True), (StoreOptions().propagation.endpoints, False)]
 )
-def test_a_keeper_that_was_never_up_to_date_vouches_for_nothing(age: float, vouched: bool) -> None:
-    known = new_store_contact()
-    sharing, _ = follower(known=known)
+def test_a_watcher_with_a_state_older_than_the_bound_confirms_nothing(
+    age: float, is_confirmed: bool
+) -> None:
+    store_contact = new_store_contact()
+    sharing, _ = follower(store_contact=store_contact)
     sharing.receive_update(message(10, 12, age))
-    assert sharing.is_kept_current(KIND) is vouched
-    assert (known.contact() is not None) is vouched
+    assert sharing.is_kept_current(KIND) is is_confirmed
+    assert (store_contact.contact() is not None) is is_confirmed
--- a/tests/test_gateway_watching.py
+++ b/tests/test_gateway_watching.py
@@ -1,4 +1,4 @@
-"""What a watch does after calls that failed, against a store that answers by a script."""
+"""Tests what a watch does after failed calls, against stores with scripted answers."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 KIND = ObjectKind.CONFIGURATION
 
 
-class Script:
-    """Answers calls in turn, then waits for ever."""
+class ScriptedStore:
+    """A store that gives the scripted answers in order, and then never answers."""
 
     def __init__(self, *answers: Any) -> None:
         self.answers = list(answers)
@@ -46,25 +46,25 @@
         return self.answers.pop(0)
 
 
-def found(revision: int) -> StoredObject:
+def stored(revision: int) -> StoredObject:
     return StoredObject("main", revision, revision)
 
 
 def listing(as_of: int) -> Listing:
-    return Listing((found(as_of),), as_of)
+    return Listing((stored(as_of),), as_of)
 
 
-NEWS = Changes((Change(found(12), False),), 12)
-NOTHING = Changes((), 12)
+ONE_CHANGE = Changes((Change(stored(12), False),), 12)
+NO_CHANGES = Changes((), 12)
 
 
 @pytest.mark.parametrize(
     ("answers", "calls", "seen"),
     [
         ([listing(10)], [("list", 0), ("watch", 10)], [10]),
-        ([listing(10), NEWS], [("list", 0), ("watch", 10), ("watch", 12)], [10, 12]),
-        ([listing(10), NOTHING], [("list", 0), ("watch", 10), ("watch", 12)], [10]),
-        # A watch may wait in vain where history is being dropped: a list tells what is so.
+        ([listing(10), ONE_CHANGE], [("list", 0), ("watch", 10), ("watch", 12)], [10, 12]),
+        ([listing(10), NO_CHANGES], [("list", 0), ("watch", 10), ("watch", 12)], [10]),
+        # A watch might wait in vain while history is dropped; a list shows the present state.
         (
             [listing(10), Unavailable("silent"), listing(15)],
             [("list", 0), ("watch", 10), ("list", 0), ("watch", 15)],
@@ -75,7 +75,7 @@
             [("list", 0), ("watch", 10), ("list", 0), ("list", 0), ("watch", 15)],
             [10, 15],
         ),
-        # An answer of a copy that lags does not count, and is asked for again.
+        # A list of a replica that lags behind is ignored, and is requested again.
         (
             [listing(10), HistoryGone(), listing(9), listing(11)],
             [("list", 0), ("watch", 10), ("list", 0), ("list", 0), ("watch", 11)],
@@ -88,41 +88,41 @@
         ),
     ],
 )
-async def test_calls_and_what_is_seen(
+async def test_calls_to_the_store_and_applied_revisions(
     answers: list[Any], calls: list[tuple[str, int]], seen: list[int]
 ) -> None:
-    store, state, told = Script(*answers), StoreReachability(), []
+    store, state, revisions = ScriptedStore(*answers), StoreReachability(), []
     sharing = WatchSharing(
         "me", OPTS, lambda: ["me"], lambda name, frame: True, new_store_contact()
     )
 
-    def changed(change: Change) -> bool:
-        told.append(change.stored.revision)
+    def apply(change: Change) -> bool:
+        revisions.append(change.stored.revision)
         return True
 
-    def listed(objects: tuple[StoredObject, ...]) -> None:
-        told.extend(one.revision for one in objects)
+    def on_first_list(objects: tuple[StoredObject, ...]) -> None:
+        revisions.extend(one.revision for one in objects)
 
-    sharing.add_kind(KIND, changed)
-    watched = WatchedKind(KIND, listed, OPTS.watch_configuration)
+    sharing.add_kind(KIND, apply)
+    watched = WatchedKind(KIND, on_first_list, OPTS.watch_configuration)
     task = asyncio.create_task(
         keep_watching(store, state, OPTS, sharing, watched)  # type: ignore[arg-type]
     )
     async with asyncio.timeout(10.0):
-        while store.answers or len(store.calls) < len(calls):  # noqa: ASYNC110 - outside.
+        while store.answers or len(store.calls) < len(calls):  # noqa: ASYNC110 - polled.
             await asyncio.sleep(0)
     task.cancel()
     assert store.calls == calls
-    assert told == seen
+    assert revisions == seen
     assert set(store.waits) <= {OPTS.watch_configuration}
 
 
 class SilentWatches:
-    """A store whose watches wait for ever but for one kind's first, which fails at a word.
+    """A store whose watch calls never return, except one kind's first call, which fails on request.
 
-    An instance was without the store for half a second, in which the answers to its watches were
-    lost. Each learned of it only when its own wait was over, at 4.1 s for endpoints, after which
-    the instance should have been up to date for 0.6 s.
+    Guards against a late recovery. An instance lost the store for half a second, and with it the
+    answers to all its watch calls. Each watch noticed this only when its own wait was over: that of
+    the endpoints after 4.1 s, 0.6 s later than the instance should have been up to date.
     """
 
     def __init__(self, failure: Unavailable) -> None:
@@ -147,11 +147,11 @@
     ("failure", "listed_again"),
     [
         (Unavailable("TimeoutError"), {KIND, ObjectKind.ENDPOINTS, ObjectKind.VERSIONS}),
-        # A refusal is an answer: the other watches may go on.
+        # A refusal is an answer, so the other watches continue.
         (Unavailable("status 503", no_effect=True), {KIND}),
     ],
 )
-async def test_a_call_without_an_answer_casts_doubt_on_the_watches_beside_it(
+async def test_a_call_without_an_answer_makes_all_kinds_be_listed_again(
     failure: Unavailable, listed_again: set[ObjectKind]
 ) -> None:
     store, state = SilentWatches(failure), StoreReachability()
@@ -162,22 +162,22 @@
     for kind in ObjectKind.CONFIGURATION, ObjectKind.ENDPOINTS, ObjectKind.VERSIONS:
         sharing.add_kind(kind, lambda change: True)
         watched = WatchedKind(kind, lambda objects: None, 100.0)
-        duty = keep_watching(store, state, OPTS, sharing, watched)  # type: ignore[arg-type]
-        tasks.append(asyncio.create_task(duty))
+        watching = keep_watching(store, state, OPTS, sharing, watched)  # type: ignore[arg-type]
+        tasks.append(asyncio.create_task(watching))
     async with asyncio.timeout(10.0):
-        while len(store.watching) < 3:  # noqa: ASYNC110 - outside.
+        while len(store.watching) < 3:  # noqa: ASYNC110 - polled.
             await asyncio.sleep(0)
         store.listed.clear()
         store.fail.set()
-        while len(store.watching) < 3 + len(listed_again):  # noqa: ASYNC110 - outside.
+        while len(store.watching) < 3 + len(listed_again):  # noqa: ASYNC110 - polled.
             await asyncio.sleep(0)
     for task in tasks:
         task.cancel()
     assert set(store.listed) == listed_again
 
 
-class Away:
-    """A store that refuses every call until it is back; its first lists are those of a copy."""
+class UnavailableStore:
+    """A store that refuses every call until it is back, and records which lists may be stale."""
 
     def __init__(self) -> None:
         self.back = False
@@ -197,8 +197,8 @@
         return await asyncio.get_running_loop().create_future()
 
 
-async def test_in_an_outage_one_kind_asks_for_all() -> None:
-    store, state = Away(), StoreReachability()
+async def test_only_one_kind_calls_the_store_in_an_outage() -> None:
+    store, state = UnavailableStore(), StoreReachability()
     sharing = WatchSharing(
         "me", OPTS, lambda: ["me"], lambda name, frame: True, new_store_contact()
     )
@@ -207,47 +207,47 @@
     for kind in kinds:
         sharing.add_kind(kind, lambda change: True)
         watched = WatchedKind(kind, lambda objects: None, 100.0)
-        duty = keep_watching(store, state, OPTS, sharing, watched)  # type: ignore[arg-type]
-        tasks.append(asyncio.create_task(duty))
+        watching = keep_watching(store, state, OPTS, sharing, watched)  # type: ignore[arg-type]
+        tasks.append(asyncio.create_task(watching))
     async with asyncio.timeout(10.0):
-        while len(store.calls) < 20:  # noqa: ASYNC110 - outside.
+        while len(store.calls) < 20:  # noqa: ASYNC110 - polled.
             await asyncio.sleep(0)
         assert len(set(store.calls[3:])) == 1
         assert state.is_away
         store.back = True
-        while state.is_away:  # noqa: ASYNC110 - outside.
+        while state.is_away:  # noqa: ASYNC110 - polled.
             await asyncio.sleep(0)
     for task in tasks:
         task.cancel()
     assert set(store.calls[-3:]) == kinds
-    # Nothing was known before, so a copy's answer will do: the watch tells what it lacks.
+    # Nothing was known before, so a stale list suffices: the watch brings the changes since.
     assert all(store.stale)
 
 
-async def test_only_the_first_list_may_be_of_a_copy_that_lags() -> None:
-    store, state = Away(), StoreReachability()
+async def test_only_the_first_list_may_be_stale() -> None:
+    store, state = UnavailableStore(), StoreReachability()
     store.back = True
     sharing = WatchSharing(
         "me", OPTS, lambda: ["me"], lambda name, frame: True, new_store_contact()
     )
     sharing.add_kind(KIND, lambda change: True)
-    duty = keep_watching(
+    watching = keep_watching(
         store,  # type: ignore[arg-type]
         state,
         OPTS,
         sharing,
         WatchedKind(KIND, lambda objects: None, 100.0),
     )
-    task = asyncio.create_task(duty)
+    task = asyncio.create_task(watching)
     async with asyncio.timeout(10.0):
-        while len(store.calls) < 2:  # noqa: ASYNC110 - outside.
+        while len(store.calls) < 2:  # noqa: ASYNC110 - polled.
             await asyncio.sleep(0)
         state.note_failure(ObjectKind.ENDPOINTS, Unavailable("silent"))
-        while len(store.stale) < 2:  # noqa: ASYNC110 - outside.
+        while len(store.stale) < 2:  # noqa: ASYNC110 - polled.
             await asyncio.sleep(0)
     task.cancel()
     assert store.stale == [True, False]
 
 
-def test_a_configuration_is_asked_for_within_the_time_in_which_it_must_be_in_force() -> None:
+def test_the_watch_of_the_configuration_is_shorter_than_its_bound() -> None:
     assert OPTS.watch_configuration < 2.0
--- a/tests/test_lease_memory.py
+++ b/tests/test_lease_memory.py
@@ -1,4 +1,4 @@
-"""What a lease keeps for the instances that come after is written at once, and survives a start."""
+"""Tests that crashes are stored in the lease at once, and restored by the next incarnation."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from wigeonarch_gateway.suspects import CrashesByContent
 from wigeonarch_platform.store import Store
 
-KEPT: CrashesByContent = [("x", ["e1@1", "e2@1"])]
+CRASHES: CrashesByContent = [("x", ["e1@1", "e2@1"])]
 
 
 @dataclass
-class Kept:
-    """What should be kept, and what was read."""
+class Memory:
+    """The crashes to store, and those that were restored."""
 
-    notable: CrashesByContent = field(default_factory=list)
-    read: CrashesByContent = field(default_factory=list)
+    crashes: CrashesByContent = field(default_factory=list)
+    restored: CrashesByContent = field(default_factory=list)
 
 
 @asynccontextmanager
-async def leasing(
-    store: StoreStandIn, kept: Kept, incarnation: str, needed: bool
+async def keep_lease(
+    store: StoreStandIn, memory: Memory, incarnation: str, needed: bool
 ) -> AsyncIterator[OwnLease]:
     client = Store(store.address)
     found = OwnLease(
         client,
         HOLDING,
         Identity("edge-0", incarnation, "127.0.0.1:1", "a"),
-        lambda plea: None,
+        lambda request: None,
         lambda: ["edge-1"],
         lambda: needed,
-        _never_seen,
-        CrashMemory(lambda: kept.notable, kept.read.extend),
+        _no_listed_revision,
+        CrashMemory(lambda: memory.crashes, memory.restored.extend),
     )
     task = asyncio.create_task(found.keep_renewed())
     try:
@@ -49,11 +49,11 @@
         await client.close()
 
 
-async def _never_seen() -> int:
+async def _no_listed_revision() -> int:
     return 0
 
 
-def in_store(store: StoreStandIn) -> CrashesByContent:
+def stored_crashes(store: StoreStandIn) -> CrashesByContent:
     found = store.objects.get(("wigeonarch-leases", "edge-0"))
     if found is None:
         return []
@@ -61,38 +61,38 @@
 
 
 @pytest.mark.parametrize("needed", [True, False])
-async def test_what_is_new_is_written_at_once_also_by_an_instance_that_rests(needed: bool) -> None:
-    store, kept = StoreStandIn(), Kept()
+async def test_new_crashes_are_stored_at_once_also_by_an_idle_instance(needed: bool) -> None:
+    store, memory = StoreStandIn(), Memory()
     await store.start()
-    async with leasing(store, kept, "first", needed) as found:
+    async with keep_lease(store, memory, "first", needed) as found:
 
         async def written() -> bool:
             return ("wigeonarch-leases", "edge-0") in store.objects
 
         await until(written)
-        kept.notable = KEPT
+        memory.crashes = CRASHES
         found.renew_soon()
 
         async def stored() -> bool:
-            return in_store(store) == KEPT
+            return stored_crashes(store) == CRASHES
 
         await until(stored)
     await store.stop()
 
 
-async def test_the_next_incarnation_reads_it_before_it_writes() -> None:
-    store, kept, after = StoreStandIn(), Kept(KEPT), Kept()
+async def test_the_next_incarnation_restores_them_before_it_writes() -> None:
+    store, memory, next_memory = StoreStandIn(), Memory(CRASHES), Memory()
     await store.start()
-    async with leasing(store, kept, "first", True):
+    async with keep_lease(store, memory, "first", True):
 
         async def stored() -> bool:
-            return in_store(store) == KEPT
+            return stored_crashes(store) == CRASHES
 
         await until(stored)
-    async with leasing(store, after, "second", True):
+    async with keep_lease(store, next_memory, "second", True):
 
-        async def read() -> bool:
-            return after.read == KEPT
+        async def restored() -> bool:
+            return next_memory.restored == CRASHES
 
-        await until(read)
+        await until(restored)
     await store.stop()
--- a/tests/test_limits_of_endpoints.py
+++ b/tests/test_limits_of_endpoints.py
@@ -1,4 +1,4 @@
-"""Several instances keep to the limit that an endpoint names, over messages that may be lost."""
+"""Several instances keep the rate limit that an endpoint states, while messages may be lost."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from wigeonarch_gateway.metrics import Metrics
 from wigeonarch_gateway.ports import EndpointRecord, EndpointState
 
-WINDOW = 4.0
-OVER = 1.5
-BESIDES = 5.0
-STEP = 0.01  # Seconds.
+WINDOW = 4.0  # Seconds over which arrivals are counted.
+MAX_EXCESS = 1.5  # A window may hold this many times the limit,
+MAX_EXTRA = 5.0  # and this many more requests.
+STEP = 0.01  # Seconds of virtual time.
 ENDPOINT = EndpointRecord("e1", "desk", "127.0.0.1:1", "a", 8, EndpointState.READY, ())
 
 
 @dataclass
 class Fleet:
-    """Instances in virtual time; a message takes one step, or is lost."""
+    """Instances in virtual time; a message takes one step, or is lost with probability `lost`."""
 
     count: int
     draw: random.Random
     lost: float = 0.0
     now: float = 1000.0
-    limiter: Callable[[str], str] = lambda me: "i0"
+    limiter: Callable[[str], str] = lambda asking: "i0"
     cut: set[str] = field(default_factory=set)
     limits: dict[str, EndpointLimits] = field(default_factory=dict)
     mail: list[tuple[str, Message]] = field(default_factory=list)
@@ -39,7 +39,7 @@
             self.start(f"i{number}")
 
     def start(self, name: str) -> None:
-        """Starts an instance, or starts it anew."""
+        """Starts or restarts an instance."""
         self.limits[name] = EndpointLimits(
             name,
             lambda endpoint: self.limiter(name),
@@ -62,14 +62,17 @@
             if name != sender:
                 self._send(sender, name, message)
 
-    def step(self, rate: float | None, eager: float) -> None:
-        """Delivers messages; each instance then has a request with a chance of `eager`."""
+    def step(self, rate: float | None, request_probability: float) -> None:
+        """Delivers messages; then each instance has a request with a probability."""
         self.now += STEP
         mail, self.mail = self.mail, []
         for name, message in mail:
             _deliver(self.limits[name], message)
         for limits in self.limits.values():
-            if self.draw.random() < eager and limits.permit_wait("e1", self.now) == 0.0:
+            if (
+                self.draw.random() < request_probability
+                and limits.permit_wait("e1", self.now) == 0.0
+            ):
                 self._request(limits, rate)
 
     def _request(self, limits: EndpointLimits, rate: float | None) -> None:
@@ -78,7 +81,7 @@
             limits.record_limit(ENDPOINT, rate, self.now)
 
     def most(self, since: float) -> int:
-        """Returns the most arrivals in any window that begins after a time."""
+        """Returns the largest number of arrivals in any window from a time on."""
         times = [at for at in self.arrivals if at >= since]
         return max((sum(at <= t < at + WINDOW for t in times) for at in times), default=0)
 
@@ -100,7 +103,7 @@
     return fleets
 
 
-def fleet(clock: list[Fleet], count: int, seed: int, lost: float = 0.0) -> Fleet:
+def make_fleet(clock: list[Fleet], count: int, seed: int, lost: float = 0.0) -> Fleet:
     clock.append(Fleet(count, random.Random(seed), lost))
     return clock[0]
 
@@ -108,106 +111,105 @@
 @pytest.mark.parametrize("count", [1, 7, 64])
 @pytest.mark.parametrize("rate", [0.5, 1.2, 5.0])
 @pytest.mark.parametrize("lost", [0.0, 0.2])
-def test_all_together_keep_to_the_limit_and_use_it(
+def test_instances_together_keep_the_limit_and_use_it(
     count: int, rate: float, lost: float, clock: list[Fleet]
 ) -> None:
-    found = fleet(clock, count, 3, lost)
-    begun = found.now
+    cluster = make_fleet(clock, count, 3, lost)
+    begun_at = cluster.now
     for _ in range(3000):
-        found.step(rate, 0.3)
-    assert found.most(begun + 3.0) <= OVER * rate * WINDOW + BESIDES
-    used = len([at for at in found.arrivals if at >= begun + 3.0])
+        cluster.step(rate, 0.3)
+    assert cluster.most(begun_at + 3.0) <= MAX_EXCESS * rate * WINDOW + MAX_EXTRA
+    used = len([at for at in cluster.arrivals if at >= begun_at + 3.0])
     assert used >= 0.5 * rate * 27.0
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_the_limit_holds_while_limiters_are_lost_and_come_back(
-    seed: int, clock: list[Fleet]
-) -> None:
-    found = fleet(clock, 7, seed, 0.05)
-    rate, begun = 2.0, found.now
-    who = 0
+def test_limit_is_kept_while_limiters_restart(seed: int, clock: list[Fleet]) -> None:
+    cluster = make_fleet(clock, 7, seed, 0.05)
+    rate, begun_at = 2.0, cluster.now
+    limiter_number = 0
     for step in range(4000):
         if step % 400 == 399:
-            # The limiter starts anew and knows nothing; the others find the next one.
-            found.start(f"i{who}")
-            who = (who + 1) % 7
-            found.limiter = lambda me, who=who: f"i{who}"  # type: ignore[misc]
-        found.step(rate, 0.3)
-    # An instance that starts anew is told by its first answer, and sends no more than that before.
-    assert found.most(begun + 3.0) <= OVER * rate * WINDOW + BESIDES
-
-
-def test_one_that_is_cut_off_from_the_limiter_sends_nothing_there(clock: list[Fleet]) -> None:
-    found = fleet(clock, 3, 1)
+            # The limiter restarts and knows nothing; the others turn to the next one.
+            cluster.start(f"i{limiter_number}")
+            limiter_number = (limiter_number + 1) % 7
+            cluster.limiter = lambda asking, limiter_number=limiter_number: f"i{limiter_number}"  # type: ignore[misc]
+        cluster.step(rate, 0.3)
+    # A restarted instance learns the limit from the first response, so it sends one request too
+    # many at most.
+    assert cluster.most(begun_at + 3.0) <= MAX_EXCESS * rate * WINDOW + MAX_EXTRA
+
+
+def test_instance_cut_off_from_the_limiter_sends_nothing(clock: list[Fleet]) -> None:
+    cluster = make_fleet(clock, 3, 1)
     for _ in range(100):
-        found.step(1.0, 1.0)
-    found.cut = {"i2"}
+        cluster.step(1.0, 1.0)
+    cluster.cut = {"i2"}
     for _ in range(200):
-        found.step(1.0, 0.0)
-    assert found.limits["i2"].permit_wait("e1", found.now) > 0.0
-    assert not found.limits["i2"].take_permit("e1", found.now)
+        cluster.step(1.0, 0.0)
+    assert cluster.limits["i2"].permit_wait("e1", cluster.now) > 0.0
+    assert not cluster.limits["i2"].take_permit("e1", cluster.now)
 
 
-def test_who_asks_the_wrong_instance_is_told_the_right_one(clock: list[Fleet]) -> None:
-    found = fleet(clock, 3, 1)
-    found.limiter = lambda me: "i1" if me == "i2" else "i0"
+def test_wrong_limiter_names_the_right_one(clock: list[Fleet]) -> None:
+    cluster = make_fleet(clock, 3, 1)
+    cluster.limiter = lambda asking: "i1" if asking == "i2" else "i0"
     for _ in range(100):
-        found.step(5.0, 0.0)
-        for limits in found.limits.values():
+        cluster.step(5.0, 0.0)
+        for limits in cluster.limits.values():
             limits.receive_limit(RateLimitUpdate("i9", "e1", 5.0))
     for _ in range(200):
-        found.limits["i2"].permit_wait("e1", found.now)
-        found.step(5.0, 0.0)
-    assert found.limits["i2"].take_permit("e1", found.now)
+        cluster.limits["i2"].permit_wait("e1", cluster.now)
+        cluster.step(5.0, 0.0)
+    assert cluster.limits["i2"].take_permit("e1", cluster.now)
 
 
-def test_a_permit_is_void_after_its_time(clock: list[Fleet]) -> None:
-    found = fleet(clock, 2, 1)
-    for limits in found.limits.values():
+def test_permit_expires(clock: list[Fleet]) -> None:
+    cluster = make_fleet(clock, 2, 1)
+    for limits in cluster.limits.values():
         limits.receive_limit(RateLimitUpdate("i9", "e1", 5.0))
     for _ in range(40):
-        found.limits["i0"].permit_wait("e1", found.now)
-        found.step(5.0, 0.0)
-    found.limits["i1"].permit_wait("e1", found.now)
+        cluster.limits["i0"].permit_wait("e1", cluster.now)
+        cluster.step(5.0, 0.0)
+    cluster.limits["i1"].permit_wait("e1", cluster.now)
     for _ in range(3):
-        found.step(5.0, 0.0)
-    assert found.limits["i1"].permit_wait("e1", found.now) == 0.0
-    found.now += 1.0
-    assert not found.limits["i1"].take_permit("e1", found.now)
+        cluster.step(5.0, 0.0)
+    assert cluster.limits["i1"].permit_wait("e1", cluster.now) == 0.0
+    cluster.now += 1.0
+    assert not cluster.limits["i1"].take_permit("e1", cluster.now)
 
 
-@pytest.mark.parametrize(("sent", "over"), [(-1.0, False), (1.0, True)])
-def test_only_an_answer_to_a_later_request_ends_the_limit(
-    sent: float, over: bool, clock: list[Fleet]
+@pytest.mark.parametrize(("sent_after", "ended"), [(-1.0, False), (1.0, True)])
+def test_only_a_response_to_a_later_request_ends_the_limit(
+    sent_after: float, ended: bool, clock: list[Fleet]
 ) -> None:
-    found = fleet(clock, 2, 1)
-    limits = found.limits["i1"]
-    limits.record_limit(ENDPOINT, 1.0, found.now)
-    found.now += 2.0
-    limits.record_limit(ENDPOINT, None, found.now - 2.0 + sent)
-    assert (limits.permit_wait("e1", found.now) == 0.0) is over
+    cluster = make_fleet(clock, 2, 1)
+    limits = cluster.limits["i1"]
+    limits.record_limit(ENDPOINT, 1.0, cluster.now)
+    cluster.now += 2.0
+    limits.record_limit(ENDPOINT, None, cluster.now - 2.0 + sent_after)
+    assert (limits.permit_wait("e1", cluster.now) == 0.0) is ended
 
 
-def test_a_limit_that_is_over_is_over_for_all(clock: list[Fleet]) -> None:
-    found = fleet(clock, 5, 2)
+def test_end_of_a_limit_reaches_all_instances(clock: list[Fleet]) -> None:
+    cluster = make_fleet(clock, 5, 2)
     for _ in range(300):
-        found.step(3.0, 0.2)
+        cluster.step(3.0, 0.2)
     for _ in range(300):
-        found.step(None, 0.2)
-    assert all(limits.permit_wait("e1", found.now) == 0.0 for limits in found.limits.values())
+        cluster.step(None, 0.2)
+    assert all(limits.permit_wait("e1", cluster.now) == 0.0 for limits in cluster.limits.values())
 
 
-def test_an_endpoint_that_starts_again_has_no_limit(clock: list[Fleet]) -> None:
-    found = fleet(clock, 2, 1)
-    found.limits["i1"].receive_limit(RateLimitUpdate("i0", "e1", 1.0))
-    assert found.limits["i1"].permit_wait("e1", found.now) > 0.0
-    found.limits["i1"].forget("e1")
-    assert found.limits["i1"].permit_wait("e1", found.now) == 0.0
+def test_restarted_endpoint_has_no_limit(clock: list[Fleet]) -> None:
+    cluster = make_fleet(clock, 2, 1)
+    cluster.limits["i1"].receive_limit(RateLimitUpdate("i0", "e1", 1.0))
+    assert cluster.limits["i1"].permit_wait("e1", cluster.now) > 0.0
+    cluster.limits["i1"].forget("e1")
+    assert cluster.limits["i1"].permit_wait("e1", cluster.now) == 0.0
 
 
-def test_one_that_was_told_nothing_by_the_endpoint_hears_of_the_limit(clock: list[Fleet]) -> None:
-    found = fleet(clock, 3, 1)
-    found.limits["i1"].record_limit(ENDPOINT, 1.0, found.now)
-    found.step(1.0, 0.0)
-    assert all(limits.permit_wait("e1", found.now) > 0.0 for limits in found.limits.values())
+def test_limit_reaches_instances_that_sent_no_request(clock: list[Fleet]) -> None:
+    cluster = make_fleet(clock, 3, 1)
+    cluster.limits["i1"].record_limit(ENDPOINT, 1.0, cluster.now)
+    cluster.step(1.0, 0.0)
+    assert all(limits.permit_wait("e1", cluster.now) > 0.0 for limits in cluster.limits.values())
--- a/tests/test_missing_endpoints.py
+++ b/tests/test_missing_endpoints.py
@@ -1,12 +1,12 @@
-"""An endpoint that left while some instances were without the store gets nothing from them.
-
-Users saw requests at an endpoint 3.2 s after the store had accepted its leaving. The store had
-turned some instances away and served the others. The endpoint left just after that; an instance
-that came back found its entry missing and took it for one that had lapsed because the store was
-away, which is back within two seconds of the store's return. So it went on sending there for 2.2 s
-after its own first answer, which came up to 1.6 s after it could have had one. Evidence:
-`store_back` at 23.85 s, five requests sent until 26.06 s, `endpoint_gone
-reason=missing_after_outage` at 26.26 s, while half of its peers had answers of the store all along.
+"""An endpoint that left while some instances had lost the store gets no requests from them.
+
+Guards against requests that arrive at an endpoint up to 3.2 s after the store has accepted that it
+leaves. The store refuses some instances and serves the others, and the endpoint leaves. An instance
+that reaches the store again finds its entry missing and assumes that it lapsed because the store
+was away, and will be back within two seconds of the store's return. So it keeps sending there for
+2.2 s after its own first answer, which may come 1.6 s after it could have had one, although half of
+its peers had answers of the store all along. The log shows `store_back`, then dispatches for 2.2 s,
+then `endpoint_gone reason=missing_after_outage`.
 """
 
 from __future__ import annotations
@@ -18,25 +18,27 @@
 from wigeonarch_gateway.options import StoreOptions
 
 INSTANCES = 8
-# Seconds without the store: longer than an entry takes to lapse, three heartbeats of 1.2 s.
+# Seconds without the store: longer than the three heartbeats of 1.2 s after which an entry lapses.
 OUTAGE = 3.7
-# Seconds for which a missing entry may come back here: longer than a test waits for anything.
-KEPT = 60.0
+# Seconds for which a missing entry may come back: longer than a test waits for any condition.
+KEPT_FOR = 60.0
 
 
-async def test_peers_tell_that_the_store_was_there() -> None:
-    # Nothing else ends what is kept.
-    await left_while_some_were_away(replace(STORE, return_time=KEPT, contact=2 * KEPT))
+async def test_store_contacts_of_peers_show_that_the_store_was_available() -> None:
+    # Nothing else ends the time for which a missing endpoint is kept.
+    await check_leaving_in_a_partial_outage(
+        replace(STORE, return_time=KEPT_FOR, contact=2 * KEPT_FOR)
+    )
 
 
-async def test_what_left_while_some_were_without_the_store_is_not_kept() -> None:
-    await left_while_some_were_away(replace(STORE, return_time=KEPT))
+async def test_an_endpoint_that_left_during_a_partial_outage_is_not_kept() -> None:
+    await check_leaving_in_a_partial_outage(replace(STORE, return_time=KEPT_FOR))
 
 
-async def left_while_some_were_away(store: StoreOptions) -> None:
+async def check_leaving_in_a_partial_outage(store: StoreOptions) -> None:
     async with world(nodes=INSTANCES, store=store) as found:
         await until_true(lambda: all(node._endpoints.get("i-desk") for node in found.nodes))
-        # One watches for all; who could follow another in its place would miss nothing.
+        # One instance watches for all, so an instance that can follow another would miss nothing.
         await until_true(lambda: sum(n._sharing.following != "" for n in found.nodes) == 7)
         names = found.nodes[0]._members.roles.delegates()
         cut = [node for node in found.nodes if node._opts.instance in names]
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""What an instance tells of requests under which endpoints ended, and what it takes over."""
+"""Crash reports of an instance: what it sends, stores in its lease, and takes over from others."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Clock:
-    """A clock that the test moves."""
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -33,22 +33,22 @@
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    found = Clock()
-    monkeypatch.setattr(module, "monotonic", found)
-    return found
+    fake_clock = Clock()
+    monkeypatch.setattr(module, "monotonic", fake_clock)
+    return fake_clock
 
 
-class Seen:
-    """What an instance sent, and how often its lease should be renewed."""
+class Instance:
+    """An instance; records what it sent, and how often it asked for a renewal of its lease."""
 
-    def __init__(self, name: str = "me", reach: ProbeResult = ProbeResult.REFUSED) -> None:
+    def __init__(self, name: str = "me", probe_result: ProbeResult = ProbeResult.REFUSED) -> None:
         self.messages: list[CrashReport] = []
         self.renewals = 0
-        self.reach = reach
-        self.suspects = SuspectRequests(name, self._send, self._renew, self._reach, Metrics())
+        self.probe_result = probe_result
+        self.suspects = SuspectRequests(name, self._send, self._renew, self._probe, Metrics())
 
-    async def _reach(self, record: EndpointRecord) -> ProbeResult:
-        return self.reach
+    async def _probe(self, record: EndpointRecord) -> ProbeResult:
+        return self.probe_result
 
     def _send(self, message: Message) -> None:
         assert isinstance(message, CrashReport)
@@ -58,16 +58,18 @@
         self.renewals += 1
 
 
-async def lose(seen: Seen, clock: Clock, content: str, *endpoints: str) -> None:
-    """Has an instance lose a request at endpoints, one after the other."""
+async def lose_connections(
+    instance: Instance, clock: Clock, content_key: str, *endpoints: str
+) -> None:
+    """Has an instance lose the connection of a request at one endpoint after the other."""
     for name in endpoints:
-        seen.suspects.record_connection_lost(content, endpoint(name), clock.now)
-        await looked()
+        instance.suspects.record_connection_lost(content_key, endpoint(name), clock.now)
+        await finish_probe()
         clock.now += 1.0
 
 
-async def looked() -> None:
-    """Lets an instance look whether an endpoint lives."""
+async def finish_probe() -> None:
+    """Lets an instance finish its probe of an endpoint."""
     for _ in range(3):
         await asyncio.sleep(0)
 
@@ -76,31 +78,31 @@
     return EndpointRecord(name, "llm", "127.0.0.1:1", "a", 8, EndpointState.READY, (), born)
 
 
-async def test_losses_of_one_moment_are_told_in_one_message(clock: Clock) -> None:
-    seen = Seen()
-    for content in ("x", "y", "x"):
-        seen.suspects.record_connection_lost(content, endpoint("e1"), clock.now - 0.25)
+async def test_simultaneous_crashes_are_reported_in_one_message(clock: Clock) -> None:
+    instance = Instance()
+    for content_key in ("x", "y", "x"):
+        instance.suspects.record_connection_lost(content_key, endpoint("e1"), clock.now - 0.25)
     await asyncio.sleep(2 * BATCH_DELAY)
-    assert [message.crashes for message in seen.messages] == [
+    assert [message.crashes for message in instance.messages] == [
         [("x", "e1@1", 250), ("y", "e1@1", 250)]
     ]
 
 
-async def test_many_losses_fit_into_datagrams() -> None:
-    seen = Seen()
+async def test_many_crashes_fit_into_datagrams() -> None:
+    instance = Instance()
     for number in range(3 * MAX_PER_MESSAGE):
-        seen.suspects.record_connection_lost(
+        instance.suspects.record_connection_lost(
             f"{number:024x}", endpoint("e" * 40, 1_700_000_000_000), 0.0
         )
     await asyncio.sleep(2 * BATCH_DELAY)
-    assert sum(len(message.crashes) for message in seen.messages) == 3 * MAX_PER_MESSAGE
-    assert all(len(encode(message)) < MAX_MESSAGE_BYTES for message in seen.messages)
+    assert sum(len(message.crashes) for message in instance.messages) == 3 * MAX_PER_MESSAGE
+    assert all(len(encode(message)) < MAX_MESSAGE_BYTES for message in instance.messages)
 
 
-async def test_ends_that_several_instances_saw_add_up(clock: Clock) -> None:
-    first, second = Seen("first"), Seen("second")
-    await lose(first, clock, "x", "e1")
-    await lose(second, clock, "x", "e2", "e3")
+async def test_crashes_seen_by_several_instances_add_up(clock: Clock) -> None:
+    first, second = Instance("first"), Instance("second")
+    await lose_connections(first, clock, "x", "e1")
+    await lose_connections(second, clock, "x", "e2", "e3")
     assert not second.suspects.quarantine_left("x")
     await asyncio.sleep(2 * BATCH_DELAY)
     for message in first.messages:
@@ -110,91 +112,92 @@
 
 
 @pytest.mark.parametrize(
-    ("ends", "kept"), [(["e1"], 0), (["e1", "e1"], 0), (["e1", "e2"], 1), (["e1", "e2", "e3"], 1)]
+    ("crashed", "stored"),
+    [(["e1"], 0), (["e1", "e1"], 0), (["e1", "e2"], 1), (["e1", "e2", "e3"], 1)],
 )
-async def test_what_was_seen_more_than_once_goes_into_the_lease(
-    ends: list[str], kept: int, clock: Clock
+async def test_request_with_several_crashes_is_stored_in_the_lease(
+    crashed: list[str], stored: int, clock: Clock
 ) -> None:
-    seen = Seen()
-    await lose(seen, clock, "x", *ends)
-    assert len(seen.suspects.crashes_to_store()) == kept
-    assert bool(seen.renewals) is bool(kept)
+    instance = Instance()
+    await lose_connections(instance, clock, "x", *crashed)
+    assert len(instance.suspects.crashes_to_store()) == stored
+    assert bool(instance.renewals) is bool(stored)
 
 
-async def test_a_lease_keeps_a_bounded_number(clock: Clock) -> None:
-    seen = Seen()
+async def test_lease_stores_a_bounded_number_of_requests(clock: Clock) -> None:
+    instance = Instance()
     for number in range(3 * MAX_STORED):
-        await lose(seen, clock, f"r{number}", "e1", "e2")
-    assert len(seen.suspects.crashes_to_store()) == MAX_STORED
+        await lose_connections(instance, clock, f"r{number}", "e1", "e2")
+    assert len(instance.suspects.crashes_to_store()) == MAX_STORED
 
 
-@pytest.mark.parametrize("young", [True, False])
-async def test_what_a_lease_says_is_taken_over_and_told_unless_all_just_read_it(
-    young: bool, clock: Clock
+@pytest.mark.parametrize("just_started", [True, False])
+async def test_crashes_read_from_a_lease_are_reported_except_just_after_the_start(
+    just_started: bool, clock: Clock
 ) -> None:
-    seen = Seen()
-    clock.now += 0.0 if young else STARTUP_PERIOD
+    instance = Instance()
+    clock.now += 0.0 if just_started else STARTUP_PERIOD
     for _ in range(2):
-        seen.suspects.adopt_stored_crashes([("x", ["e1@1", "e2@1", "e3@1"])])
-    assert seen.suspects.quarantine_left("x") > 0.0
+        instance.suspects.adopt_stored_crashes([("x", ["e1@1", "e2@1", "e3@1"])])
+    assert instance.suspects.quarantine_left("x") > 0.0
     await asyncio.sleep(2 * BATCH_DELAY)
-    assert len(seen.messages) == (0 if young else 1)
+    assert len(instance.messages) == (0 if just_started else 1)
 
 
 @pytest.mark.parametrize(
-    ("after", "blamed"), [(0.5 * ABANDONED_RUN_TTL, 1), (1.5 * ABANDONED_RUN_TTL, 0)]
+    ("after", "crashes"), [(0.5 * ABANDONED_RUN_TTL, 1), (1.5 * ABANDONED_RUN_TTL, 0)]
 )
-async def test_a_run_whose_end_nobody_saw_counts_when_its_endpoint_is_gone(
-    after: float, blamed: int, clock: Clock
+async def test_abandoned_run_counts_as_crash_if_its_endpoint_is_soon_gone(
+    after: float, crashes: int, clock: Clock
 ) -> None:
-    seen = Seen()
-    seen.suspects.record_abandoned("x", endpoint("e1"), clock.now)
-    assert seen.suspects.crash_count("x") == 0
+    instance = Instance()
+    instance.suspects.record_abandoned("x", endpoint("e1"), clock.now)
+    assert instance.suspects.crash_count("x") == 0
     clock.now += after
-    seen.suspects.endpoint_ended("e2")
-    assert seen.suspects.crash_count("x") == 0
-    seen.suspects.endpoint_ended("e1")
-    assert seen.suspects.crash_count("x") == blamed
-
-
-async def test_a_cleared_request_is_told_and_one_without_ends_is_not() -> None:
-    seen, other = Seen(), Seen("other")
-    seen.suspects.record_answered("y")
-    seen.suspects.record_connection_lost("x", endpoint("e1"), 0.0)
-    await looked()
-    seen.suspects.record_answered("x")
+    instance.suspects.endpoint_ended("e2")
+    assert instance.suspects.crash_count("x") == 0
+    instance.suspects.endpoint_ended("e1")
+    assert instance.suspects.crash_count("x") == crashes
+
+
+async def test_cleared_request_is_reported_only_if_it_had_crashes() -> None:
+    instance, other = Instance(), Instance("other")
+    instance.suspects.record_answered("y")
+    instance.suspects.record_connection_lost("x", endpoint("e1"), 0.0)
+    await finish_probe()
+    instance.suspects.record_answered("x")
     await asyncio.sleep(2 * BATCH_DELAY)
-    assert len(seen.messages) == 1
-    other.suspects.receive_report(seen.messages[0])
+    assert len(instance.messages) == 1
+    other.suspects.receive_report(instance.messages[0])
     assert other.suspects.crash_count("x") == 0
 
 
-async def test_a_newcomer_is_told_what_is_known(clock: Clock) -> None:
-    seen, newcomer = Seen(), Seen("newcomer")
-    await lose(seen, clock, "x", "e1", "e2", "e3")
-    newcomer.suspects.receive_report(seen.suspects.known_crashes())
+async def test_newcomer_gets_the_known_crashes(clock: Clock) -> None:
+    instance, newcomer = Instance(), Instance("newcomer")
+    await lose_connections(instance, clock, "x", "e1", "e2", "e3")
+    newcomer.suspects.receive_report(instance.suspects.known_crashes())
     assert newcomer.suspects.quarantine_left("x") > 0.0
 
 
 @pytest.mark.parametrize(
-    ("reach", "before", "after"),
+    ("probe_result", "after_probe", "after_end"),
     [(ProbeResult.REFUSED, 1, 1), (ProbeResult.OPEN, 0, 0), (ProbeResult.UNKNOWN, 0, 1)],
 )
-async def test_a_connection_that_broke_while_its_endpoint_lives_on_blames_nobody(
-    reach: ProbeResult, before: int, after: int, clock: Clock
+async def test_lost_connection_is_no_crash_while_its_endpoint_is_up(
+    probe_result: ProbeResult, after_probe: int, after_end: int, clock: Clock
 ) -> None:
-    seen = Seen(reach=reach)
-    await lose(seen, clock, "x", "e1")
-    assert seen.suspects.crash_count("x") == before
-    seen.suspects.endpoint_ended("e1")
-    assert seen.suspects.crash_count("x") == after
+    instance = Instance(probe_result=probe_result)
+    await lose_connections(instance, clock, "x", "e1")
+    assert instance.suspects.crash_count("x") == after_probe
+    instance.suspects.endpoint_ended("e1")
+    assert instance.suspects.crash_count("x") == after_end
 
 
-async def test_one_look_decides_on_all_runs_that_were_lost_with_an_endpoint(clock: Clock) -> None:
-    seen = Seen()
+async def test_one_probe_decides_on_all_runs_that_an_endpoint_lost(clock: Clock) -> None:
+    instance = Instance()
     for number in range(10):
-        seen.suspects.record_connection_lost(f"r{number}", endpoint("e1"), clock.now)
-    assert len(seen.suspects._checks) == 1
-    await looked()
-    assert all(seen.suspects.crash_count(f"r{number}") == 1 for number in range(10))
-    assert not seen.suspects._checks
+        instance.suspects.record_connection_lost(f"r{number}", endpoint("e1"), clock.now)
+    assert len(instance.suspects._checks) == 1
+    await finish_probe()
+    assert all(instance.suspects.crash_count(f"r{number}") == 1 for number in range(10))
+    assert not instance.suspects._checks
--- a/tests/test_update_age.py
+++ b/tests/test_update_age.py
@@ -1,7 +1,8 @@
-"""What a follower takes from its keeper is young enough, whatever happens to messages and store.
+"""A follower never relies on a state that is too old, whatever happens to messages and the store.
 
-A small world with a clock of its own: a keeper watches the store, a follower relies on it. At each
-moment the follower must know what the store accepted `bound` earlier, or not rely on the keeper.
+A simulation with its own clock: a watcher watches the store, and a follower relies on the watcher.
+At every step the follower must know what the store accepted `bound` seconds earlier, or not rely on
+the watcher. The faults are lost, duplicated and delayed messages, and silent cuts from the store.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 from wigeonarch_gateway.sharing import FOLLOW_INTERVAL, KINDS, OWN_CALL_TIME, WatchSharing
 
 KIND = ObjectKind.ENDPOINTS
-STEP = 0.01  # Seconds of the world's clock.
-SPAN = 30.0  # Seconds that are played.
-RTT = 0.01  # Seconds of a call to the store.
+STEP = 0.01  # Seconds of simulated time.
+SPAN = 30.0  # Seconds that are simulated.
+RTT = 0.01  # Seconds that a call to the store takes.
 
 
 @dataclass
-class Played:
-    """One world.
+class Simulation:
+    """Simulated time, scheduled events and the store.
 
     Attributes:
-        now: Its time, in seconds.
-        due: What happens later.
+        now: Simulated time, in seconds.
+        due: Events, with the times at which they happen.
         accepted: Revisions of the store, with the times of their acceptance.
     """
 
@@ -39,26 +40,26 @@
     due: list[tuple[float, Callable[[], None]]] = field(default_factory=list)
     accepted: list[tuple[float, int]] = field(default_factory=lambda: [(0.0, 10)])
 
-    def later(self, seconds: float, what: Callable[[], None]) -> None:
-        self.due.append((self.now + seconds, what))
+    def schedule(self, seconds: float, event: Callable[[], None]) -> None:
+        self.due.append((self.now + seconds, event))
 
     def step(self) -> None:
         self.now += STEP
-        ready = [what for at, what in self.due if at <= self.now]
-        self.due = [(at, what) for at, what in self.due if at > self.now]
-        for what in ready:
-            what()
+        ready = [event for at, event in self.due if at <= self.now]
+        self.due = [(at, event) for at, event in self.due if at > self.now]
+        for event in ready:
+            event()
 
     def revision(self, at: float) -> int:
         return max(revision for when, revision in self.accepted if when <= at)
 
 
-def play(
-    seed: int, bound: float, spoil: Callable[[StoreUpdate], StoreUpdate] = lambda told: told
+def simulate(
+    seed: int, bound: float, corrupt: Callable[[StoreUpdate], StoreUpdate] = lambda update: update
 ) -> None:
-    """Plays a world drawn from a seed; fails when the follower relies on what is too old."""
+    """Simulates faults drawn from a seed; fails if the follower relies on a state too old."""
     rng = random.Random(seed)
-    world = Played()
+    world = Simulation()
     opts = StoreOptions(propagation=PropagationBounds(endpoints=bound))
     loss = rng.choice((0.0, 0.1, 0.4))
     slowest = rng.choice((0.01, 0.1, 0.6))
@@ -67,34 +68,34 @@
         def send(name: str, frame: bytes) -> bool:
             for _ in range(rng.choice((1, 1, 1, 2))):
                 if rng.random() >= loss:
-                    world.later(rng.uniform(0.0, slowest), lambda: receive(frame))
+                    world.schedule(rng.uniform(0.0, slowest), lambda: receive(frame))
             return True
 
         return send
 
-    def to_keeper(frame: bytes) -> None:
+    def to_watcher(frame: bytes) -> None:
         message = decode(frame)
         assert isinstance(message, FollowRequest)
-        keeper.answer_follower(message)
+        watcher.answer_follower(message)
 
     def to_follower(frame: bytes) -> None:
         message = decode(frame)
         if isinstance(message, UpdateUnavailable):
             follower.receive_unavailable(message)
         elif isinstance(message, StoreUpdate):
-            follower.receive_update(spoil(message))
+            follower.receive_update(corrupt(message))
 
-    keeper = WatchSharing("k", opts, lambda: ["k"], link(to_follower), new_store_contact())
-    follower = WatchSharing("f", opts, lambda: ["k"], link(to_keeper), new_store_contact())
+    watcher = WatchSharing("k", opts, lambda: ["k"], link(to_follower), new_store_contact())
+    follower = WatchSharing("f", opts, lambda: ["k"], link(to_watcher), new_store_contact())
     known = {10}
 
     def learn(change: Change) -> bool:
         known.add(change.stored.revision)
         return True
 
-    keeper.add_kind(KIND, lambda change: True)
+    watcher.add_kind(KIND, lambda change: True)
     follower.add_kind(KIND, learn)
-    for one in (keeper, follower):
+    for one in (watcher, follower):
         one.feed(KIND).apply_list([], 10)
     cuts = sorted(rng.uniform(world.now, world.now + SPAN) for _ in range(4))
 
@@ -102,39 +103,39 @@
         return cuts[0] <= at < cuts[1] or cuts[2] <= at < cuts[3]
 
     def watch() -> None:
-        """The keeper's watch: a silent cut swallows its answer, and it is lost in time."""
-        pause, wait = keeper.watch_times(KIND, opts.batch_pause, opts.watch)
-        began, since = world.now, keeper.feed(KIND).as_of
+        """Runs a watch call; a silent cut swallows its answer, and the call times out."""
+        pause, wait = watcher.watch_times(KIND, opts.batch_pause, opts.watch)
+        began, since = world.now, watcher.feed(KIND).as_of
         assert since is not None
 
-        def look() -> None:
-            news = world.revision(world.now)
+        def check() -> None:
+            latest = world.revision(world.now)
             if cut(world.now) or cut(began):
                 if world.now - began > wait + 0.6:
-                    keeper.note_store_failure(KIND)
-                    world.later(opts.retry, watch)
+                    watcher.note_store_failure(KIND)
+                    world.schedule(opts.retry, watch)
                 else:
-                    world.later(STEP, look)
-            elif news > since or world.now - began >= wait:
-                fresh = range(since + 1, news + 1)
+                    world.schedule(STEP, check)
+            elif latest > since or world.now - began >= wait:
+                fresh = range(since + 1, latest + 1)
                 changes = [Change(StoredObject(f"i-{n}", n, n), False) for n in fresh]
-                keeper.note_store_answer(KIND)
-                keeper.take_changes(KIND, changes, news)
-                world.later(pause if news > since else 0.0, watch)
+                watcher.note_store_answer(KIND)
+                watcher.take_changes(KIND, changes, latest)
+                world.schedule(pause if latest > since else 0.0, watch)
             else:
-                world.later(STEP, look)
+                world.schedule(STEP, check)
 
-        world.later(RTT, look)
+        world.schedule(RTT, check)
 
-    def ask() -> None:
+    def request_updates() -> None:
         follower._request_update()
-        world.later(FOLLOW_INTERVAL, ask)
+        world.schedule(FOLLOW_INTERVAL, request_updates)
 
     patch = pytest.MonkeyPatch()
     patch.setattr(sharing_module, "monotonic", lambda: world.now)
     try:
         watch()
-        ask()
+        request_updates()
         end = world.now + SPAN
         while world.now < end:
             if rng.random() < STEP * 2:
@@ -153,22 +154,22 @@
 
 @pytest.mark.parametrize("bound", BOUNDS)
 @pytest.mark.parametrize("seed", range(12))
-def test_a_follower_relies_on_nothing_too_old(seed: int, bound: float) -> None:
-    play(seed, bound)
+def test_a_follower_never_relies_on_a_state_that_is_too_old(seed: int, bound: float) -> None:
+    simulate(seed, bound)
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_planted_defect_is_caught(defect: Callable[[StoreUpdate], StoreUpdate]) -> None:
+def test_a_planted_defect_is_detected(defect: Callable[[StoreUpdate], StoreUpdate]) -> None:
     with pytest.raises(AssertionError, match="relies on a gap"):
         for seed in range(60):
-            play(seed, 3.0, defect)
+            simulate(seed, 3.0, defect)
 
 
 @pytest.mark.parametrize("bound", BOUNDS)
-def test_a_sound_keeper_is_relied_on_all_the_time(
+def test_a_working_watcher_can_always_be_relied_on(
     bound: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its pause and wait fit the bound: the age at the next word is still under it."""
+    """Its pause and wait keep the age at a follower's next request below the bound."""
     opts = StoreOptions(propagation=PropagationBounds(endpoints=bound))
     sharing = WatchSharing("k", opts, lambda: ["k"], lambda name, frame: True, new_store_contact())
     sharing.add_kind(KIND, lambda change: True)
--- a/tests/test_zone_watch.py
+++ b/tests/test_zone_watch.py
@@ -1,9 +1,9 @@
-"""One instance watches the store for its zone: who stands by, who starts, and what each relies on.
+"""The watcher of a zone is replaced, and nobody relies on an old state, whatever fails.
 
-A world of whole zones with a clock of its own. Instances are frozen, killed, cut off from the store
-or from each other and started again; messages are lost, doubled and late. At each moment an
-instance that rests must know what the store accepted a bound earlier, or still have the time that
-one has after its start.
+A simulation of whole zones with its own clock. Instances are frozen, killed, cut off from the store
+or from each other, and restarted; messages are lost, duplicated and delayed. At every step an
+instance that does not watch the store itself must know what the store accepted a bound earlier, or
+still be within the time that an instance has after its start.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 )
 
 KIND = ObjectKind.ENDPOINTS
-STEP = 0.02  # Seconds of the world's clock.
-RTT = 0.01  # Seconds of a call to the store.
-LOOK = 0.3  # Seconds between looks whether an instance may rest on.
-KEEPERS = 3
-LOST = 0.6  # Seconds beyond its wait after which a watch counts as lost.
-STALE = 4.0  # Seconds by which a list may lag.
+STEP = 0.02  # Seconds of simulated time.
+RTT = 0.01  # Seconds that a call to the store takes.
+CHECK_INTERVAL = 0.3  # Seconds between checks whether an instance must watch the store itself.
+WATCHERS = 3  # Instances that may become the watcher.
+LOST_AFTER = 0.6  # Seconds beyond its wait after which a watch call counts as lost.
+MAX_LIST_LAG = 4.0  # Seconds by which a list may lag behind.
 
 
 @dataclass
 class Store:
-    """Revisions with the times of their acceptance."""
+    """The revisions of the store, with the times of their acceptance."""
 
     accepted: list[tuple[float, int]] = field(default_factory=lambda: [(0.0, 10)])
 
@@ -47,18 +47,18 @@
 
 
 class Instance:
-    """One instance: the sharing under test, and a watch as `keep_watching` makes it."""
+    """An instance with the `WatchSharing` under test, and a watch like that of `keep_watching`."""
 
     def __init__(self, zone: Zone, name: str) -> None:
         self.zone = zone
         self.name = name
-        self.down_until = 0.0  # Frozen or not yet started again.
-        self.cut_until = 0.0  # Without the store.
+        self.down_until = 0.0  # Frozen or not restarted yet.
+        self.cut_until = 0.0  # Cut off from the store.
         self.calls = 0
         self.start()
 
     def start(self) -> None:
-        """Starts, with a list that lags."""
+        """Starts the instance with a list that lags behind."""
         opts = StoreOptions(propagation=PropagationBounds(endpoints=self.zone.bound))
         self.sharing = WatchSharing(
             self.name,
@@ -68,13 +68,15 @@
             new_store_contact(),
             is_zone_small=lambda: False,
         )
-        seen = self.zone.store.revision(self.zone.now - self.zone.rng.uniform(0.0, STALE))
-        self.known = set(range(10, seen + 1))
+        list_revision = self.zone.store.revision(
+            self.zone.now - self.zone.rng.uniform(0.0, MAX_LIST_LAG)
+        )
+        self.known = set(range(10, list_revision + 1))
         self.sharing.add_kind(KIND, self.learn)
-        self.sharing.feed(KIND).apply_list([], seen)
+        self.sharing.feed(KIND).apply_list([], list_revision)
         self.started = self.zone.now
-        self.next_ask = self.zone.now
-        self.next_look = self.zone.now
+        self.next_request = self.zone.now
+        self.next_check = self.zone.now
         self.watch: tuple[float, float, int] | None = None
 
     def learn(self, change: Change) -> bool:
@@ -88,25 +90,25 @@
         elif isinstance(message, UpdateUnavailable):
             self.sharing.receive_unavailable(message)
         elif isinstance(message, StoreUpdate):
-            self.sharing.receive_update(self.zone.spoil(message))
+            self.sharing.receive_update(self.zone.corrupt(message))
 
     def step(self) -> None:
         now = self.zone.now
         if now < self.down_until:
             return
-        if now >= self.next_ask:
-            self.next_ask = now + FOLLOW_INTERVAL
+        if now >= self.next_request:
+            self.next_request = now + FOLLOW_INTERVAL
             self.sharing._request_update()
         if self.watch is not None:
-            self.look_at_watch()
-        elif now >= self.next_look:
-            self.look()
+            self.check_watch()
+        elif now >= self.next_check:
+            self.start_watch()
 
-    def look(self) -> None:
+    def start_watch(self) -> None:
         now = self.zone.now
-        rests = self.sharing.watch_not_needed_for(KIND)
-        if rests > 0.0:
-            self.next_look = now + min(LOOK, rests)
+        idle_for = self.sharing.watch_not_needed_for(KIND)
+        if idle_for > 0.0:
+            self.next_check = now + min(CHECK_INTERVAL, idle_for)
             return
         _, wait = self.sharing.watch_times(KIND, 0.9, 3.5)
         since = self.sharing.feed(KIND).as_of
@@ -114,26 +116,28 @@
         self.calls += 1
         self.watch = (now, wait, since)
 
-    def look_at_watch(self) -> None:
+    def check_watch(self) -> None:
         assert self.watch is not None
         now = self.zone.now
         began, wait, since = self.watch
         if now < self.cut_until or began < self.cut_until:
-            if now - began > wait + LOST:
+            if now - began > wait + LOST_AFTER:
                 self.sharing.note_store_failure(KIND)
-                self.watch, self.next_look = None, now + 0.25
+                self.watch, self.next_check = None, now + 0.25
             return
-        news = self.zone.store.revision(now - RTT)
-        if news <= since and now - began < wait:
+        latest = self.zone.store.revision(now - RTT)
+        if latest <= since and now - began < wait:
             return
-        changes = [Change(StoredObject(f"i-{n}", n, n), False) for n in range(since + 1, news + 1)]
+        changes = [
+            Change(StoredObject(f"i-{n}", n, n), False) for n in range(since + 1, latest + 1)
+        ]
         self.sharing.note_store_answer(KIND)
-        self.sharing.take_changes(KIND, changes, max(news, since))
+        self.sharing.take_changes(KIND, changes, max(latest, since))
         pause, _ = self.sharing.watch_times(KIND, 0.9, 3.5)
-        self.watch, self.next_look = None, now + (pause if changes else 0.0)
+        self.watch, self.next_check = None, now + (pause if changes else 0.0)
 
     def check(self) -> None:
-        """Fails when the instance relies on another although it lacks what it must know."""
+        """Fails if the instance relies on another one although it lacks necessary changes."""
         zone = self.zone
         if zone.now < self.down_until or zone.now - self.started < WATCHER_SEARCH_TIME:
             return
@@ -145,24 +149,24 @@
 
 
 class Zone:
-    """The instances of a zone, their messages, and what happens to them."""
+    """The instances of a zone, the messages between them, and the faults injected."""
 
     def __init__(
         self,
         seed: int,
         size: int,
         bound: float,
-        spoil: Callable[[StoreUpdate], StoreUpdate] | None = None,
+        corrupt: Callable[[StoreUpdate], StoreUpdate] | None = None,
     ) -> None:
         self.rng = random.Random(seed)
         self.bound = bound
-        self.spoil = spoil or (lambda told: told)
+        self.corrupt = corrupt or (lambda update: update)
         self.now = 100.0
         self.store = Store()
         self.loss = self.rng.choice((0.0, 0.05, 0.3))
         self.slowest = self.rng.choice((0.01, 0.1, 0.5))
         self.due: list[tuple[float, str, bytes]] = []
-        self.ranking = [f"n{n}" for n in range(KEEPERS)]
+        self.ranking = [f"n{n}" for n in range(WATCHERS)]
         self.instances = {f"n{n}": Instance(self, f"n{n}") for n in range(size)}
 
     def send(self, sender: Instance, to: str, frame: bytes) -> bool:
@@ -172,8 +176,8 @@
                 self.due.append((at, to, frame))
         return True
 
-    def disturb(self) -> None:
-        """Does something to one of the keepers, or to any instance."""
+    def inject_fault(self) -> None:
+        """Injects a random fault into one of the possible watchers, or into any instance."""
         rng = self.rng
         name = rng.choice([*self.ranking, rng.choice(list(self.instances))])
         victim = self.instances[name]
@@ -188,7 +192,7 @@
             case "cut":
                 victim.cut_until = self.now + seconds
             case "replace":
-                # Others are seen as the keepers; not all at the same moment in truth.
+                # The ranking of watchers changes; in reality not for all at the same moment.
                 rng.shuffle(self.ranking)
 
     def step(self) -> None:
@@ -205,39 +209,39 @@
 
 
 @pytest.fixture
-def play(monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., Zone]]:
-    """Plays a zone for some seconds.
+def simulate(monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., Zone]]:
+    """Returns a function that simulates a zone for some seconds.
 
-    `disturbed` says how often a second something happens to it; on `sound` links nothing is lost.
+    `fault_rate` is the number of faults per second; with `reliable` links no message is lost.
     """
 
-    def played(
+    def simulated(
         seed: int,
         size: int = 6,
         bound: float = 3.0,
         seconds: float = 25.0,
-        disturbed: float = 0.4,
-        spoil: Callable[[StoreUpdate], StoreUpdate] | None = None,
-        sound: bool = False,
+        fault_rate: float = 0.4,
+        corrupt: Callable[[StoreUpdate], StoreUpdate] | None = None,
+        reliable: bool = False,
     ) -> Zone:
         current: list[Zone] = []
         monkeypatch.setattr(
             sharing_module, "monotonic", lambda: current[0].now if current else 100.0
         )
-        zone = Zone(seed, size, bound, spoil)
+        zone = Zone(seed, size, bound, corrupt)
         current.append(zone)
-        if sound:
+        if reliable:
             zone.loss, zone.slowest = 0.0, RTT
         end = zone.now + seconds
         while zone.now < end:
             zone.step()
-            if zone.rng.random() < STEP * disturbed:
-                zone.disturb()
+            if zone.rng.random() < STEP * fault_rate:
+                zone.inject_fault()
             for instance in zone.instances.values():
                 instance.check()
         return zone
 
-    yield played
+    yield simulated
 
 
 BOUNDS = (2.0, 3.0, 4.0)
@@ -245,46 +249,48 @@
 
 @pytest.mark.parametrize("bound", BOUNDS)
 @pytest.mark.parametrize("seed", range(8))
-def test_nobody_relies_on_what_is_too_old(
-    play: Callable[..., Zone], seed: int, bound: float
+def test_no_instance_relies_on_a_state_that_is_too_old(
+    simulate: Callable[..., Zone], seed: int, bound: float
 ) -> None:
-    play(seed, bound=bound)
+    simulate(seed, bound=bound)
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_nor_does_anybody_in_a_zone_of_forty(play: Callable[..., Zone], seed: int) -> None:
-    play(seed, size=40, seconds=10.0, disturbed=1.0)
+def test_no_instance_of_a_zone_of_forty_does_so_either(
+    simulate: Callable[..., Zone], seed: int
+) -> None:
+    simulate(seed, size=40, seconds=10.0, fault_rate=1.0)
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_planted_defect_is_caught(
-    play: Callable[..., Zone], defect: Callable[[StoreUpdate], StoreUpdate]
+def test_a_planted_defect_is_detected(
+    simulate: Callable[..., Zone], defect: Callable[[StoreUpdate], StoreUpdate]
 ) -> None:
     with pytest.raises(AssertionError, match="relies on a gap"):
         for seed in range(40):
-            play(seed, spoil=defect)
+            simulate(seed, corrupt=defect)
 
 
-def calls_a_second(zone: Zone, seconds: float) -> float:
+def calls_per_second(zone: Zone, seconds: float) -> float:
     return sum(instance.calls for instance in zone.instances.values()) / seconds
 
 
-def test_what_watching_costs_does_not_grow_with_the_zone(play: Callable[..., Zone]) -> None:
+def test_the_load_on_the_store_does_not_grow_with_the_zone(simulate: Callable[..., Zone]) -> None:
     costs = {}
     for size in (10, 40):
-        zone = play(1, size=size, seconds=20.0, disturbed=0.0, sound=True)
-        costs[size] = calls_a_second(zone, 20.0)
+        zone = simulate(1, size=size, seconds=20.0, fault_rate=0.0, reliable=True)
+        costs[size] = calls_per_second(zone, 20.0)
     assert costs[40] < 1.5 * costs[10]
 
 
-def test_all_that_start_at_once_find_one_that_watches(play: Callable[..., Zone]) -> None:
-    zone = play(3, size=40, seconds=WATCHER_SEARCH_TIME, disturbed=0.0, sound=True)
+def test_instances_that_start_together_find_one_watcher(simulate: Callable[..., Zone]) -> None:
+    zone = simulate(3, size=40, seconds=WATCHER_SEARCH_TIME, fault_rate=0.0, reliable=True)
     asking = [name for name, instance in zone.instances.items() if instance.calls]
     assert len(asking) == 1
 
 
-def test_the_next_keeper_takes_over_from_one_that_is_lost(play: Callable[..., Zone]) -> None:
-    zone = play(5, size=12, seconds=10.0, disturbed=0.0, sound=True)
+def test_the_next_watcher_takes_over_from_a_lost_one(simulate: Callable[..., Zone]) -> None:
+    zone = simulate(5, size=12, seconds=10.0, fault_rate=0.0, reliable=True)
     first, second = zone.instances["n0"], zone.instances["n1"]
     assert all(i.sharing.following == "n0" for i in zone.instances.values() if i is not first)
     first.down_until = float("inf")
@@ -299,11 +305,11 @@
     assert not second.sharing.following
 
 
-def test_who_is_followed_watches_by_itself(play: Callable[..., Zone]) -> None:
-    zone = play(7, size=4, seconds=6.0, disturbed=0.0, sound=True)
+def test_an_instance_with_followers_watches_the_store_itself(simulate: Callable[..., Zone]) -> None:
+    zone = simulate(7, size=4, seconds=6.0, fault_rate=0.0, reliable=True)
     second = zone.instances["n1"]
     assert second.sharing.following == "n0"
     assert second.sharing.watch_not_needed_for(KIND) > 0.0
-    # Another one that lost sight of the first keeper; ages along a chain would add up.
+    # The follower has lost the first watcher. Ages would add up along a chain.
     second.sharing.answer_follower(FollowRequest("n3", [(KINDS.index(KIND), 10)]))
     assert second.sharing.watch_not_needed_for(KIND) == 0.0
