--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/arguments.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/arguments.py
@@ -32,13 +32,13 @@
     return check
 
 
-def whole_number(least: int, most: int) -> Callable[[str], int]:
+def whole_number(minimum: int, maximum: int) -> Callable[[str], int]:
     """Returns the type of a whole number within bounds."""
 
     def check(text: str) -> int:
-        number = _integer(text)
-        if number is None or not least <= number <= most:
-            message = texts.BAD_NUMBER.format(text=text, least=least, most=most)
+        number = _parse_integer(text)
+        if number is None or not minimum <= number <= maximum:
+            message = texts.BAD_NUMBER.format(text=text, least=minimum, most=maximum)
             raise argparse.ArgumentTypeError(message)
         return number
 
@@ -47,7 +47,7 @@
 
 def seconds_as_ms(text: str) -> int:
     """Checks a number of seconds and returns it in milliseconds, rounded up."""
-    seconds = _float(text)
+    seconds = _parse_float(text)
     if not 0 <= seconds <= MAX_SECONDS:
         message = texts.BAD_SECONDS.format(text=text, most=MAX_SECONDS)
         raise argparse.ArgumentTypeError(message)
@@ -56,31 +56,31 @@
 
 def timeout(text: str) -> float:
     """Checks a number of seconds above 0."""
-    seconds = _float(text)
+    seconds = _parse_float(text)
     if not 0 < seconds <= MAX_SECONDS:
         message = texts.BAD_TIMEOUT.format(text=text, most=MAX_SECONDS)
         raise argparse.ArgumentTypeError(message)
     return seconds
 
 
-def split(text: str) -> pb.Split:
+def version_split(text: str) -> pb.Split:
     """Checks a split of a rule, `VERSION=WEIGHT`."""
     version, _, weight = text.rpartition("=")
-    number = _integer(weight)
+    number = _parse_integer(weight)
     if not version or number is None or not 1 <= number <= UINT32_MAX:
         message = texts.BAD_SPLIT.format(text=text, most=UINT32_MAX)
         raise argparse.ArgumentTypeError(message)
     return pb.Split(version=version, weight=number)
 
 
-def _integer(text: str) -> int | None:
+def _parse_integer(text: str) -> int | None:
     try:
         return int(text)
     except ValueError:
         return None
 
 
-def _float(text: str) -> float:
+def _parse_float(text: str) -> float:
     try:
         return float(text)
     except ValueError:
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/cli.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/cli.py
@@ -27,7 +27,7 @@
 SERVER_VARIABLE: Final = "WIGEONARCH_SERVER"
 DEFAULT_TIMEOUT_S: Final = 30.0
 DEFAULT_WAIT_MS: Final = 5000
-MUST_NOT_EXIST: Final = 0
+ABSENT_ENTRY_VERSION: Final = 0
 
 SERVICE_KINDS: Final[dict[str, int]] = {
     "model": pb.SERVICE_KIND_MODEL,
@@ -35,8 +35,8 @@
 }
 
 # Options, in seconds, that make the server wait; the call must outlast them.
-WAITING_OPTIONS: Final = {commands.submit: "deadline"}
-DEFAULT_WAITING_OPTION: Final = "wait"
+WAIT_OPTION_BY_COMMAND: Final = {commands.submit: "deadline"}
+DEFAULT_WAIT_OPTION: Final = "wait"
 
 AddOptions = Callable[[argparse.ArgumentParser, bool], None]
 
@@ -52,11 +52,11 @@
     """
     parser = make_parser()
     args = parser.parse_args(argv)
-    _check(parser, args)
+    _check_arguments(parser, args)
     try:
-        return _run(args)
+        return _run_command(args)
     except KeyboardInterrupt:
-        _advise(texts.INTERRUPTED)
+        _print_advice(texts.INTERRUPTED)
         return exits.UNKNOWN
 
 
@@ -65,7 +65,7 @@
     parser = argparse.ArgumentParser(
         prog=PROGRAM,
         description=texts.DESCRIPTION,
-        epilog=_exit_codes(),
+        epilog=_format_exit_codes(),
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     _add_global_options(parser)
@@ -82,12 +82,12 @@
     return parser
 
 
-def _run(args: argparse.Namespace) -> int:
+def _run_command(args: argparse.Namespace) -> int:
     console = commands.Console(
         output=args.output,
-        show=render.make_show(args.output, _write),
-        write=_write,
-        advise=_advise,
+        show=render.make_printer(args.output, _print_text),
+        write=_print_text,
+        advise=_print_advice,
     )
     if args.command == "teams":
         return commands.teams(console, args)
@@ -97,7 +97,7 @@
     try:
         error = session.connect()
         if error is not None:
-            _advise(error.message)
+            _print_advice(error.message)
             return error.exit_code
         command: commands.Command = args.run
         return command(console, session, args)
@@ -110,16 +110,16 @@
     return bool(getattr(args, "logs", None))
 
 
-def _check(parser: argparse.ArgumentParser, args: argparse.Namespace) -> None:
+def _check_arguments(parser: argparse.ArgumentParser, args: argparse.Namespace) -> None:
     """Ends the program with a usage error when arguments do not go together."""
     if _reads_logs(args) or args.command == "teams":
         return
     if not args.server:
         parser.error(texts.NO_SERVER)
-    option = WAITING_OPTIONS.get(args.run, DEFAULT_WAITING_OPTION)
+    option = WAIT_OPTION_BY_COMMAND.get(args.run, DEFAULT_WAIT_OPTION)
     if (getattr(args, option, None) or 0) >= args.timeout * arguments.MS_PER_S:
         parser.error(texts.WAIT_TOO_LONG.format(option=option))
-    if args.run is commands.lookup and not _names_one_request(args):
+    if args.run is commands.lookup and not _identifies_one_request(args):
         parser.error(texts.LOOKUP_KEY)
     if args.run is commands.submit:
         _check_submit(parser, args)
@@ -127,33 +127,33 @@
 
 def _check_submit(parser: argparse.ArgumentParser, args: argparse.Namespace) -> None:
     """Refuses options that belong to the other kind of work, which would be ignored."""
-    foreign = _FOREIGN["operation" if args.prompt is None else "prompt"]
+    foreign = _INAPPLICABLE_OPTIONS["operation" if args.prompt is None else "prompt"]
     if getattr(args, foreign.replace("-", "_")) is not None:
         other = "prompt" if args.prompt is None else "operation"
-        parser.error(texts.FOREIGN_OPTION.format(option=foreign, other=other))
+        parser.error(texts.INAPPLICABLE_OPTION.format(option=foreign, other=other))
 
 
 # The option that says nothing about each kind of work.
-_FOREIGN: Final = {"prompt": "body", "operation": "max-tokens"}
+_INAPPLICABLE_OPTIONS: Final = {"prompt": "body", "operation": "max-tokens"}
 
 
-def _names_one_request(args: argparse.Namespace) -> bool:
+def _identifies_one_request(args: argparse.Namespace) -> bool:
     if args.request_id:
         return not (args.service or args.key)
     return bool(args.service and args.key)
 
 
-def _exit_codes() -> str:
+def _format_exit_codes() -> str:
     lines = (f"  {code}  {meaning}" for code, meaning in exits.MEANINGS.items())
     return "\n".join((texts.EXIT_CODES, *lines))
 
 
-def _write(text: str) -> None:
+def _print_text(text: str) -> None:
     sys.stdout.write(text)
     sys.stdout.flush()
 
 
-def _advise(text: str) -> None:
+def _print_advice(text: str) -> None:
     sys.stderr.write(f"{PROGRAM}: {text}\n")
 
 
@@ -185,26 +185,26 @@
     group.set_defaults(entry_kind=kind)
     verbs = group.add_subparsers(dest="verb", required=True, metavar="VERB")
 
-    creating = _add_named(verbs, "create", f"create one {word}", kind, commands.create)
+    creating = _add_entry_command(verbs, "create", f"create one {word}", kind, commands.create)
     add_options(creating, True)
     _add_mutation_options(creating)
-    creating.set_defaults(expected_version=MUST_NOT_EXIST)
+    creating.set_defaults(expected_version=ABSENT_ENTRY_VERSION)
 
-    updating = _add_named(verbs, "update", f"change one {word}", kind, commands.update)
+    updating = _add_entry_command(verbs, "update", f"change one {word}", kind, commands.update)
     add_options(updating, False)
     _add_expected_version(updating)
     _add_mutation_options(updating)
 
-    deleting = _add_named(verbs, "delete", f"delete one {word}", kind, commands.delete)
+    deleting = _add_entry_command(verbs, "delete", f"delete one {word}", kind, commands.delete)
     _add_expected_version(deleting)
     _add_mutation_options(deleting)
 
-    _add_named(verbs, "get", f"show one {word}", kind, commands.get)
+    _add_entry_command(verbs, "get", f"show one {word}", kind, commands.get)
     listing = verbs.add_parser("list", help=f"show every {word}")
     listing.set_defaults(run=commands.list_entries)
 
 
-def _add_named(
+def _add_entry_command(
     verbs: Subparsers, verb: str, summary: str, kind: int, run: commands.Command
 ) -> argparse.ArgumentParser:
     parser = verbs.add_parser(verb, help=summary)
@@ -244,12 +244,12 @@
     )
 
 
-def _service_options(parser: argparse.ArgumentParser, creating: bool) -> None:
+def _add_service_options(parser: argparse.ArgumentParser, creating: bool) -> None:
     parser.set_defaults(kind=None)
     if creating:
         parser.add_argument(
             "--kind",
-            type=_service_kind,
+            type=_parse_service_kind,
             required=True,
             metavar="{model,plain}",
             help="what stands behind the service",
@@ -269,18 +269,18 @@
     )
 
 
-def _service_kind(text: str) -> int:
+def _parse_service_kind(text: str) -> int:
     if text not in SERVICE_KINDS:
         message = texts.BAD_SERVICE_KIND.format(text=text, kinds=", ".join(SERVICE_KINDS))
         raise argparse.ArgumentTypeError(message)
     return SERVICE_KINDS[text]
 
 
-def _adapter_options(_: argparse.ArgumentParser, __: bool) -> None:
+def _add_adapter_options(_: argparse.ArgumentParser, __: bool) -> None:
     """An adapter has nothing but its name."""
 
 
-def _version_options(parser: argparse.ArgumentParser, creating: bool) -> None:
+def _add_version_options(parser: argparse.ArgumentParser, creating: bool) -> None:
     parser.add_argument(
         "--weights", required=creating, metavar="REFERENCE", help="weights in the weight store"
     )
@@ -292,11 +292,11 @@
     )
 
 
-def _rule_options(parser: argparse.ArgumentParser, _: bool) -> None:
+def _add_rule_options(parser: argparse.ArgumentParser, _: bool) -> None:
     parser.add_argument(
         "--split",
         action="append",
-        type=arguments.split,
+        type=arguments.version_split,
         required=True,
         metavar="VERSION=WEIGHT",
         help="a version's share, may be repeated; replaces all splits of the rule",
@@ -304,10 +304,10 @@
 
 
 ENTRY_GROUPS: Final[dict[int, tuple[str, AddOptions]]] = {
-    pb.ENTRY_KIND_SERVICE: ("service", _service_options),
-    pb.ENTRY_KIND_ADAPTER: ("adapter", _adapter_options),
-    pb.ENTRY_KIND_VERSION: ("version", _version_options),
-    pb.ENTRY_KIND_RULE: ("rule", _rule_options),
+    pb.ENTRY_KIND_SERVICE: ("service", _add_service_options),
+    pb.ENTRY_KIND_ADAPTER: ("adapter", _add_adapter_options),
+    pb.ENTRY_KIND_VERSION: ("version", _add_version_options),
+    pb.ENTRY_KIND_RULE: ("rule", _add_rule_options),
 }
 
 
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/commands.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/commands.py
@@ -15,10 +15,10 @@
 from wigeonarch_ctl import exits, logtrace, render, teamtable, texts
 from wigeonarch_ctl.mutations import delete_entry, put_entry
 from wigeonarch_ctl.names import parse_entry_name
-from wigeonarch_ctl.session import CallError, LostReply, Session, lost_reply
+from wigeonarch_ctl.session import CallError, LostReplyHandler, Session, lost_reply_handler
 
 FROM_STDIN: Final = "-"
-NO_ENTRY: Final = pb.Entry()
+EMPTY_ENTRY: Final = pb.Entry()
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +33,8 @@
     """
 
     output: str
-    show: render.Show
-    write: render.Write
+    show: render.Printer
+    write: render.WriteText
     advise: Callable[[str], None]
 
 
@@ -43,7 +43,7 @@
 
 def create(console: Console, session: Session, args: argparse.Namespace) -> int:
     """Creates an entry; refused when it exists."""
-    return _put(console, session, args, NO_ENTRY)
+    return _put_entry(console, session, args, EMPTY_ENTRY)
 
 
 def update(console: Console, session: Session, args: argparse.Namespace) -> int:
@@ -52,15 +52,17 @@
     The server decides on the expected version. Only an instance that is behind is refused here:
     its old fields must not be written over newer ones.
     """
-    entry = _get(session, args)
+    entry = _get_entry(session, args)
     if isinstance(entry, CallError):
-        return _fail(console, entry)
+        return _report_error(console, entry)
     if entry.version < args.expected_version:
         console.advise(
-            texts.BEHIND.format(name=args.name, found=entry.version, expected=args.expected_version)
+            texts.INSTANCE_BEHIND.format(
+                name=args.name, found=entry.version, expected=args.expected_version
+            )
         )
         return exits.NOT_RUN
-    return _put(console, session, args, entry)
+    return _put_entry(console, session, args, entry)
 
 
 def delete(console: Console, session: Session, args: argparse.Namespace) -> int:
@@ -70,9 +72,9 @@
 
 def get(console: Console, session: Session, args: argparse.Namespace) -> int:
     """Shows one entry."""
-    entry = _get(session, args)
+    entry = _get_entry(session, args)
     if isinstance(entry, CallError):
-        return _fail(console, entry)
+        return _report_error(console, entry)
     console.show(entry)
     return exits.OK
 
@@ -84,7 +86,7 @@
     while True:
         page = session.call(session.catalogue.ListEntries, request)
         if isinstance(page, CallError):
-            return _fail(console, page)
+            return _report_error(console, page)
         found.entries.extend(page.entries)
         if not page.next_page_token:
             break
@@ -96,22 +98,24 @@
 def change(console: Console, session: Session, args: argparse.Namespace) -> int:
     """Shows what became of an earlier change."""
     request = pb.GetChangeRequest(operation_id=args.operation_id, wait_ms=args.wait)
-    missing = CallError(exits.UNKNOWN, texts.NO_SUCH_CHANGE.format(operation_id=args.operation_id))
+    missing = CallError(
+        exits.UNKNOWN, texts.CHANGE_NOT_FOUND.format(operation_id=args.operation_id)
+    )
     reply = session.call(session.catalogue.GetChange, request, missing=missing)
-    return _changed(console, reply, args.operation_id)
+    return _report_change(console, reply, args.operation_id)
 
 
 def submit(console: Console, session: Session, args: argparse.Namespace) -> int:
     """Submits a request and shows its outcome, or streams its text."""
-    request = _submit_request(args)
-    lost = _submit_lost(request)
+    request = _make_submit_request(args)
+    lost = _make_lost_submit_handler(request)
     if args.stream:
-        return _stream(console, session, request, lost)
+        return _submit_streamed(console, session, request, lost)
     reply = session.call(session.requests.Submit, request, lost)
     if isinstance(reply, CallError):
-        return _fail(console, reply)
+        return _report_error(console, reply)
     console.show(reply)
-    return _ended(console, reply)
+    return _report_outcome(console, reply)
 
 
 def lookup(console: Console, session: Session, args: argparse.Namespace) -> int:
@@ -122,10 +126,10 @@
         request = pb.LookupRequest(service_key=key)
     reply = session.call(session.requests.Lookup, request)
     if isinstance(reply, CallError):
-        return _fail(console, reply)
+        return _report_error(console, reply)
     console.show(reply)
     if reply.state == pb.REQUEST_STATE_ENDED:
-        return _ended(console, reply.reply)
+        return _report_outcome(console, reply.reply)
     code, text = LOOKUP_STATES.get(reply.state, (exits.UNKNOWN, texts.LOOKUP_UNKNOWN))
     console.advise(text)
     return code
@@ -134,10 +138,10 @@
 def explain(console: Console, session: Session, args: argparse.Namespace) -> int:
     """Shows the decisions about a request that an instance remembers."""
     request = pb.ExplainRequest(request_id=args.request_id)
-    missing = CallError(exits.NOT_RUN, texts.NOT_EXPLAINED)
+    missing = CallError(exits.NOT_RUN, texts.DECISIONS_NOT_FOUND)
     reply = session.call(session.requests.Explain, request, missing=missing)
     if isinstance(reply, CallError):
-        return _fail(console, reply)
+        return _report_error(console, reply)
     console.show(reply)
     return exits.OK
 
@@ -145,14 +149,14 @@
 def explain_logs(console: Console, args: argparse.Namespace) -> int:
     """Shows what log files tell of a request, and the cause of its outcome."""
     try:
-        lines = logtrace.read(args.logs)
+        lines = logtrace.read_files(args.logs)
     except OSError as exc:
-        console.advise(texts.UNREADABLE.format(path=exc.filename, reason=exc.strerror))
+        console.advise(texts.UNREADABLE_FILE.format(path=exc.filename, reason=exc.strerror))
         return exits.USAGE
-    found = logtrace.trace(lines, args.request_id)
+    found = logtrace.trace_request(lines, args.request_id)
     for line in [*found.lines, *found.endpoints]:
-        pairs = " ".join(f"{key}={value}" for key, value in line.pairs.items())
-        console.write(f"{line.at} {line.event} {pairs}\n")
+        pairs = " ".join(f"{key}={value}" for key, value in line.fields.items())
+        console.write(f"{line.timestamp} {line.event} {pairs}\n")
     console.write(f"cause: {found.cause}\n")
     return exits.OK if found.lines else exits.NOT_RUN
 
@@ -164,10 +168,10 @@
         try:
             pages.append(teamtable.read_metrics(address))
         except OSError as exc:
-            console.advise(texts.UNREADABLE.format(path=address, reason=exc))
+            console.advise(texts.UNREADABLE_FILE.format(path=address, reason=exc))
     if not pages:
         return exits.UNREACHABLE
-    console.write(teamtable.table(teamtable.add_up(pages)))
+    console.write(teamtable.format_table(teamtable.sum_usage(pages)))
     return exits.OK if len(pages) == len(args.metrics) else exits.UNREACHABLE
 
 
@@ -175,7 +179,7 @@
     """Shows the state of the fleet."""
     reply = session.call(session.fleet.Status, pb.StatusRequest())
     if isinstance(reply, CallError):
-        return _fail(console, reply)
+        return _report_error(console, reply)
     console.show(reply)
     return exits.OK
 
@@ -183,9 +187,9 @@
 def drain(console: Console, session: Session, args: argparse.Namespace) -> int:
     """Starts the graceful shutdown of an instance."""
     request = pb.DrainRequest(instance=args.instance)
-    reply = session.call(session.fleet.Drain, request, lost_reply(texts.DRAIN_LOST))
+    reply = session.call(session.fleet.Drain, request, lost_reply_handler(texts.DRAIN_LOST))
     if isinstance(reply, CallError):
-        return _fail(console, reply)
+        return _report_error(console, reply)
     console.show(reply)
     if reply.draining:
         return exits.OK
@@ -199,17 +203,19 @@
 }
 
 
-def _fail(console: Console, error: CallError) -> int:
+def _report_error(console: Console, error: CallError) -> int:
     console.advise(error.message)
     return error.exit_code
 
 
-def _get(session: Session, args: argparse.Namespace) -> pb.Entry | CallError:
+def _get_entry(session: Session, args: argparse.Namespace) -> pb.Entry | CallError:
     request = pb.GetEntryRequest(kind=args.entry_kind, name=args.name)
     return session.call(session.catalogue.GetEntry, request)
 
 
-def _put(console: Console, session: Session, args: argparse.Namespace, entry: pb.Entry) -> int:
+def _put_entry(
+    console: Console, session: Session, args: argparse.Namespace, entry: pb.Entry
+) -> int:
     name = parse_entry_name(args.entry_kind, args.name)
     assert name is not None, "the parser has checked the name"
     return _mutate(console, session, args, put_entry(entry, name, args))
@@ -220,14 +226,14 @@
 ) -> int:
     operation_id = args.operation_id or uuid.uuid4().hex
     request = pb.MutateRequest(operation_id=operation_id, mutation=mutation, wait_ms=args.wait)
-    lost = lost_reply(texts.MUTATION_LOST, operation_id=operation_id)
+    lost = lost_reply_handler(texts.MUTATION_LOST, operation_id=operation_id)
     reply = session.call(session.catalogue.Mutate, request, lost)
-    return _changed(console, reply, operation_id)
+    return _report_change(console, reply, operation_id)
 
 
-def _changed(console: Console, reply: pb.MutateReply | CallError, operation_id: str) -> int:
+def _report_change(console: Console, reply: pb.MutateReply | CallError, operation_id: str) -> int:
     if isinstance(reply, CallError):
-        return _fail(console, reply)
+        return _report_error(console, reply)
     console.show(reply)
     code = exits.of_status(reply.status)
     if code != exits.OK:
@@ -235,14 +241,14 @@
     return code
 
 
-def _ended(console: Console, reply: pb.SubmitReply) -> int:
+def _report_outcome(console: Console, reply: pb.SubmitReply) -> int:
     code = exits.of_outcome(reply.outcome)
     if code != exits.OK:
         console.advise(texts.request_advice(reply))
     return code
 
 
-def _submit_request(args: argparse.Namespace) -> pb.SubmitRequest:
+def _make_submit_request(args: argparse.Namespace) -> pb.SubmitRequest:
     """Returns the request; one that may run only once gets a key, to look it up by."""
     key = args.key or (uuid.uuid4().hex if args.non_idempotent else "")
     request = pb.SubmitRequest(
@@ -254,37 +260,41 @@
         caller=args.caller,
     )
     if args.prompt is not None:
-        generate = pb.Generate(prompt=_text(args.prompt), max_tokens=args.max_tokens or 0)
+        generate = pb.Generate(prompt=_read_text(args.prompt), max_tokens=args.max_tokens or 0)
         request.generate.CopyFrom(generate)
     else:
-        request.call.CopyFrom(pb.Call(operation=args.operation, body=_text(args.body or "")))
+        request.call.CopyFrom(pb.Call(operation=args.operation, body=_read_text(args.body or "")))
     return request
 
 
-def _text(argument: str) -> str:
+def _read_text(argument: str) -> str:
     return sys.stdin.read() if argument == FROM_STDIN else argument
 
 
-def _submit_lost(request: pb.SubmitRequest) -> LostReply:
+def _make_lost_submit_handler(request: pb.SubmitRequest) -> LostReplyHandler:
     if not request.idempotency_key:
-        return lost_reply(texts.SUBMIT_LOST)
+        return lost_reply_handler(texts.SUBMIT_LOST)
     service = request.model.partition("/")[0]
-    return lost_reply(texts.SUBMIT_LOST_WITH_KEY, service=service, key=request.idempotency_key)
+    return lost_reply_handler(
+        texts.SUBMIT_LOST_WITH_KEY, service=service, key=request.idempotency_key
+    )
 
 
-def _stream(console: Console, session: Session, request: pb.SubmitRequest, lost: LostReply) -> int:
+def _submit_streamed(
+    console: Console, session: Session, request: pb.SubmitRequest, lost: LostReplyHandler
+) -> int:
     end = _read_stream(console, session, request, lost)
     if console.output == render.TABLE:
         console.write("\n")
     if isinstance(end, CallError):
-        return _fail(console, end)
+        return _report_error(console, end)
     if console.output == render.TABLE:
         console.advise("\n".join(render.table_blocks(end)))
-    return _ended(console, end)
+    return _report_outcome(console, end)
 
 
 def _read_stream(
-    console: Console, session: Session, request: pb.SubmitRequest, lost: LostReply
+    console: Console, session: Session, request: pb.SubmitRequest, lost: LostReplyHandler
 ) -> pb.SubmitReply | CallError:
     """Prints chunks as they come; returns the end, or why there is none.
 
@@ -296,23 +306,23 @@
     try:
         for event in events:
             if event.WhichOneof("event") == "end":
-                _show_event(console, event)
+                _print_event(console, event)
                 return event.end
             if event.chunk.seq != expected:
                 events.cancel()
-                gap = texts.STREAM_GAP.format(expected=expected, found=event.chunk.seq)
+                gap = texts.STREAM_CHUNKS_MISSING.format(expected=expected, found=event.chunk.seq)
                 return lost(code, gap)
             expected += 1
-            _show_event(console, event)
+            _print_event(console, event)
     except grpc.RpcError as exc:
-        return session.error(exc, lost, begun=expected > 0)
+        return session.error_of_failed_call(exc, lost, reply_started=expected > 0)
     except KeyboardInterrupt:
         events.cancel()
         return lost(grpc.StatusCode.CANCELLED.name, texts.INTERRUPTED_CALL)
-    return lost(code, texts.STREAM_CUT)
+    return lost(code, texts.STREAM_INCOMPLETE)
 
 
-def _show_event(console: Console, event: pb.SubmitEvent) -> None:
+def _print_event(console: Console, event: pb.SubmitEvent) -> None:
     if console.output == render.JSON:
         console.write(render.json_line(event) + "\n")
     else:
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/logtrace.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/logtrace.py
@@ -59,86 +59,86 @@
     ("caller_left", ""): "the caller left after {sends} sends; the endpoint was told",
     ("no_route", ""): "no route of version {version} for host {host}",
 }
-NO_END: Final = "no end is logged: the instance stopped, or its lines were dropped"
-NOTHING: Final = "no line names this request"
-NOT_REPEATED: Final = "; it was not sent again, as the bound on repeated sends was reached"
-STREAM_BROKE: Final = "; the stream had {events} events by then and was cut off"
+OUTCOME_NOT_LOGGED: Final = "no end is logged: the instance stopped, or its lines were dropped"
+REQUEST_NOT_LOGGED: Final = "no line names this request"
+NOT_RETRIED: Final = "; it was not sent again, as the bound on repeated sends was reached"
+STREAM_CUT_OFF: Final = "; the stream had {events} events by then and was cut off"
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class LogLine:
     """One line of a log: its time, event and pairs."""
 
-    at: str
+    timestamp: str
     event: str
-    pairs: dict[str, str]
+    fields: dict[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
     """The lines of a request in order, what was known of its endpoints, and the cause."""
 
-    lines: list[Line]
-    endpoints: list[Line]
+    lines: list[LogLine]
+    endpoints: list[LogLine]
     cause: str
 
 
-def parse(text: str) -> Line | None:
+def parse_line(text: str) -> LogLine | None:
     """Returns the event in a line, or None when it has none."""
     pairs = {key: value.strip('"') for key, value in _PAIR.findall(text)}
     event = pairs.pop("event", "")
-    return Line(pairs.pop("ts", ""), event, pairs) if event else None
+    return LogLine(pairs.pop("ts", ""), event, pairs) if event else None
 
 
-def read(paths: Sequence[Path]) -> list[Line]:
+def read_files(paths: Sequence[Path]) -> list[LogLine]:
     """Returns the events of all files, in order of time."""
-    lines: list[Line] = []
+    lines: list[LogLine] = []
     for path in paths:
         with path.open(errors="replace") as file:
-            lines += [line for text in file if (line := parse(text)) is not None]
-    return sorted(lines, key=lambda line: line.at)
+            lines += [line for text in file if (line := parse_line(text)) is not None]
+    return sorted(lines, key=lambda line: line.timestamp)
 
 
-def trace(lines: Iterable[Line], request: str) -> Trace:
+def trace_request(lines: Iterable[LogLine], request: str) -> Trace:
     """Returns what the lines tell of a request."""
     everything = list(lines)
-    own = [line for line in everything if line.pairs.get("request") == request]
+    own = [line for line in everything if line.fields.get("request") == request]
     if not own:
-        return Trace([], [], NOTHING)
-    endpoints = {line.pairs["endpoint"] for line in own if line.pairs.get("endpoint")}
-    last = own[-1].at
+        return Trace([], [], REQUEST_NOT_LOGGED)
+    endpoints = {line.fields["endpoint"] for line in own if line.fields.get("endpoint")}
+    last = own[-1].timestamp
     about = [
         line
         for line in everything
         if line.event in ENDPOINT_EVENTS
-        and line.pairs.get("endpoint") in endpoints
-        and line.pairs.get("instance") == own[-1].pairs.get("instance")
-        and line.at <= last
+        and line.fields.get("endpoint") in endpoints
+        and line.fields.get("instance") == own[-1].fields.get("instance")
+        and line.timestamp <= last
     ]
-    return Trace(own, about[-3:], _cause(own))
+    return Trace(own, about[-3:], _explain_outcome(own))
 
 
-def _cause(own: list[Line]) -> str:
+def _explain_outcome(own: list[LogLine]) -> str:
     end = own[-1]
-    if end.event == "answered" and not end.pairs.get("endpoint") and len(own) > 1:
+    if end.event == "answered" and not end.fields.get("endpoint") and len(own) > 1:
         # What the instance answered by itself: why is in the line before.
-        end = own[-2] if (own[-2].event, own[-2].pairs.get("reason", "")) in CAUSES else end
-    text = CAUSES.get((end.event, end.pairs.get("reason", ""))) or CAUSES.get((end.event, ""))
+        end = own[-2] if (own[-2].event, own[-2].fields.get("reason", "")) in CAUSES else end
+    text = CAUSES.get((end.event, end.fields.get("reason", ""))) or CAUSES.get((end.event, ""))
     if text is None:
-        return NO_END
+        return OUTCOME_NOT_LOGGED
     known = {"last_endpoint": "the endpoint", "how": "no reason logged"}
     for line in own:
-        known |= line.pairs
-        if line.pairs.get("endpoint"):
-            known["last_endpoint"] = line.pairs["endpoint"]
-    if end.event == "failed" and end.pairs.get("begun") == "True":
-        text += STREAM_BROKE
+        known |= line.fields
+        if line.fields.get("endpoint"):
+            known["last_endpoint"] = line.fields["endpoint"]
+    if end.event == "failed" and end.fields.get("begun") == "True":
+        text += STREAM_CUT_OFF
     if any(line.event == "retry_denied" for line in own):
-        text += NOT_REPEATED
-    return text.format_map(_Known(known))
+        text += NOT_RETRIED
+    return text.format_map(_KnownFields(known))
 
 
-class _Known(dict[str, str]):
+class _KnownFields(dict[str, str]):
     """Values of a sentence; what no line told is shown as unknown."""
 
     def __missing__(self, key: str) -> str:
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/mutations.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/mutations.py
@@ -14,7 +14,7 @@
 
 from wigeonarch_ctl.names import EntryName
 
-Maker = Callable[[pb.Entry, EntryName, argparse.Namespace], pb.Mutation]
+MutationBuilder = Callable[[pb.Entry, EntryName, argparse.Namespace], pb.Mutation]
 
 
 def _put_service(entry: pb.Entry, name: EntryName, args: argparse.Namespace) -> pb.Mutation:
@@ -53,7 +53,7 @@
     return pb.Mutation(put_rule=pb.PutRule(rule=rule))
 
 
-MAKERS: Final[dict[int, Maker]] = {
+BUILDERS: Final[dict[int, MutationBuilder]] = {
     pb.ENTRY_KIND_SERVICE: _put_service,
     pb.ENTRY_KIND_ADAPTER: _put_adapter,
     pb.ENTRY_KIND_VERSION: _put_version,
@@ -69,7 +69,7 @@
         name: Name of the entry.
         args: The command's arguments; `entry_kind` and `expected_version` among them.
     """
-    mutation = MAKERS[args.entry_kind](entry, name, args)
+    mutation = BUILDERS[args.entry_kind](entry, name, args)
     mutation.expected_version = args.expected_version
     return mutation
 
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/render.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/render.py
@@ -23,8 +23,8 @@
 COLUMN_GAP: Final = "  "
 ABSENT: Final = "-"
 
-Write = Callable[[str], None]
-Show = Callable[[Message], None]
+WriteText = Callable[[str], None]
+Printer = Callable[[Message], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +40,7 @@
     rows: Sequence[Sequence[object]]
 
 
-def make_show(output: str, write: Write) -> Show:
+def make_printer(output: str, write: WriteText) -> Printer:
     """Returns the function that prints a reply.
 
     Args:
@@ -68,21 +68,24 @@
 def table_blocks(message: Message) -> list[str]:
     """Returns a reply as blocks of text, one for each section that has rows."""
     build = BUILDERS[message.DESCRIPTOR.name]
-    return [_align(section) for section in build(message) if section.rows]
+    return [_format_section(section) for section in build(message) if section.rows]
 
 
-def _align(section: Section) -> str:
-    lines = [list(section.heading), *([_cell(value) for value in row] for row in section.rows)]
+def _format_section(section: Section) -> str:
+    lines = [
+        list(section.heading),
+        *([_format_cell(value) for value in row] for row in section.rows),
+    ]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
-    return "".join(_line(line, widths) for line in lines)
+    return "".join(_format_row(line, widths) for line in lines)
 
 
-def _line(cells: Sequence[str], widths: Sequence[int]) -> str:
+def _format_row(cells: Sequence[str], widths: Sequence[int]) -> str:
     padded = (cell.ljust(width) for cell, width in zip(cells, widths, strict=True))
     return COLUMN_GAP.join(padded).rstrip() + "\n"
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     return str(value) if value != "" else ABSENT
@@ -92,17 +95,17 @@
     return name.removeprefix(prefix).lower()
 
 
-def _status(status: pb.Status.ValueType) -> str:
+def _status_name(status: pb.Status.ValueType) -> str:
     known = status in pb.Status.values()
     return _enum_name(pb.Status.Name(status), "STATUS_") if known else str(status)
 
 
-def _outcome(outcome: pb.Outcome.ValueType) -> str:
+def _outcome_name(outcome: pb.Outcome.ValueType) -> str:
     known = outcome in pb.Outcome.values()
     return _enum_name(pb.Outcome.Name(outcome), "OUTCOME_") if known else str(outcome)
 
 
-def _state(state: pb.RequestState.ValueType) -> str:
+def _state_name(state: pb.RequestState.ValueType) -> str:
     known = state in pb.RequestState.values()
     return _enum_name(pb.RequestState.Name(state), "REQUEST_STATE_") if known else str(state)
 
@@ -129,31 +132,35 @@
     return ""
 
 
-DETAILS: Final[dict[str | None, Callable[[pb.Entry], str]]] = {
+DETAIL_FORMATTERS: Final[dict[str | None, Callable[[pb.Entry], str]]] = {
     "service": _service_details,
     "adapter_version": _version_details,
     "rule": _rule_details,
 }
 
 
-def _entries(entries: Iterable[pb.Entry]) -> list[Section]:
+def _entry_table(entries: Iterable[pb.Entry]) -> list[Section]:
     rows = [
-        (entry.name, entry.version, DETAILS.get(entry.WhichOneof("value"), _no_details)(entry))
+        (
+            entry.name,
+            entry.version,
+            DETAIL_FORMATTERS.get(entry.WhichOneof("value"), _no_details)(entry),
+        )
         for entry in entries
     ]
     return [Section(("NAME", "VERSION", "DETAILS"), rows)]
 
 
-def _entry(entry: pb.Entry) -> list[Section]:
-    return _entries([entry])
+def _entry_sections(entry: pb.Entry) -> list[Section]:
+    return _entry_table([entry])
 
 
-def _entry_list(reply: pb.ListEntriesReply) -> list[Section]:
-    return _entries(reply.entries)
+def _entry_list_sections(reply: pb.ListEntriesReply) -> list[Section]:
+    return _entry_table(reply.entries)
 
 
-def _change(reply: pb.MutateReply) -> list[Section]:
-    row = (_status(reply.status), reply.change, reply.entry_version, reply.message)
+def _change_sections(reply: pb.MutateReply) -> list[Section]:
+    row = (_status_name(reply.status), reply.change, reply.entry_version, reply.message)
     lagging = [(lag.zone, lag.instance) for lag in reply.lagging]
     return [
         Section(("STATUS", "CHANGE", "VERSION", "MESSAGE"), [row]),
@@ -161,10 +168,10 @@
     ]
 
 
-def _submit(reply: pb.SubmitReply) -> list[Section]:
+def _submit_sections(reply: pb.SubmitReply) -> list[Section]:
     values = (
         ("request", reply.request_id),
-        ("outcome", _outcome(reply.outcome)),
+        ("outcome", _outcome_name(reply.outcome)),
         ("reason", reply.reason),
         ("retry after, s", reply.retry_after_s or ""),
         ("adapter", reply.adapter),
@@ -178,17 +185,17 @@
     return [Section(("FIELD", "VALUE"), [pair for pair in values if pair[1] != ""])]
 
 
-def _lookup(reply: pb.LookupReply) -> list[Section]:
-    known = Section(("STATE", "INSTANCE"), [(_state(reply.state), reply.instance)])
-    return [known, *(_submit(reply.reply) if reply.HasField("reply") else [])]
+def _lookup_sections(reply: pb.LookupReply) -> list[Section]:
+    known = Section(("STATE", "INSTANCE"), [(_state_name(reply.state), reply.instance)])
+    return [known, *(_submit_sections(reply.reply) if reply.HasField("reply") else [])]
 
 
-def _explain(reply: pb.ExplainReply) -> list[Section]:
+def _explain_sections(reply: pb.ExplainReply) -> list[Section]:
     rows = [(f"{d.at_s:.6f}", d.step, d.reason, d.detail) for d in reply.decisions]
     return [Section(("AT, S", "STEP", "REASON", "DETAIL"), rows)]
 
 
-def _instances(reply: pb.StatusReply) -> Section:
+def _instance_table(reply: pb.StatusReply) -> Section:
     rows = [
         (one.name, one.zone, one.ready, one.draining, one.applied_change, one.lease)
         for one in reply.instances
@@ -196,7 +203,7 @@
     return Section(("INSTANCE", "ZONE", "READY", "DRAINING", "CHANGE", "LEASE"), rows)
 
 
-def _loaded(engine: pb.EngineStatus) -> str:
+def _format_loaded(engine: pb.EngineStatus) -> str:
     names = (
         f"{one.adapter}@{one.version}" + ("" if one.state == "loaded" else f"({one.state})")
         for one in engine.loaded
@@ -204,7 +211,7 @@
     return ",".join(names)
 
 
-def _engines(reply: pb.StatusReply) -> Section:
+def _engine_table(reply: pb.StatusReply) -> Section:
     heading = (
         *("ENGINE", "ZONE", "SERVICE", "STATE", "OWNER", "FENCE", "INCARNATION"),
         *("SLOTS", "QUEUE", "RUNNING", "LOADED"),
@@ -212,31 +219,31 @@
     rows = [
         (
             *(one.name, one.zone, one.service, one.state, one.owner, one.fencing_number),
-            *(one.incarnation, one.slots, one.queue, one.running, _loaded(one)),
+            *(one.incarnation, one.slots, one.queue, one.running, _format_loaded(one)),
         )
         for one in reply.engines
     ]
     return Section(heading, rows)
 
 
-def _fleet(reply: pb.StatusReply) -> list[Section]:
+def _status_sections(reply: pb.StatusReply) -> list[Section]:
     zones = [(one.zone, one.lowest_applied, one.highest_applied) for one in reply.zones]
     config = Section(("ZONE", "LOWEST CHANGE", "HIGHEST CHANGE"), zones)
-    return [_instances(reply), _engines(reply), config]
+    return [_instance_table(reply), _engine_table(reply), config]
 
 
-def _drain(reply: pb.DrainReply) -> list[Section]:
+def _drain_sections(reply: pb.DrainReply) -> list[Section]:
     row = (reply.instance, reply.draining, reply.remaining, reply.message)
     return [Section(("INSTANCE", "DRAINING", "REMAINING", "MESSAGE"), [row])]
 
 
 BUILDERS: Final[dict[str, Callable[[Any], list[Section]]]] = {
-    pb.Entry.DESCRIPTOR.name: _entry,
-    pb.ListEntriesReply.DESCRIPTOR.name: _entry_list,
-    pb.MutateReply.DESCRIPTOR.name: _change,
-    pb.SubmitReply.DESCRIPTOR.name: _submit,
-    pb.LookupReply.DESCRIPTOR.name: _lookup,
-    pb.ExplainReply.DESCRIPTOR.name: _explain,
-    pb.StatusReply.DESCRIPTOR.name: _fleet,
-    pb.DrainReply.DESCRIPTOR.name: _drain,
+    pb.Entry.DESCRIPTOR.name: _entry_sections,
+    pb.ListEntriesReply.DESCRIPTOR.name: _entry_list_sections,
+    pb.MutateReply.DESCRIPTOR.name: _change_sections,
+    pb.SubmitReply.DESCRIPTOR.name: _submit_sections,
+    pb.LookupReply.DESCRIPTOR.name: _lookup_sections,
+    pb.ExplainReply.DESCRIPTOR.name: _explain_sections,
+    pb.StatusReply.DESCRIPTOR.name: _status_sections,
+    pb.DrainReply.DESCRIPTOR.name: _drain_sections,
 }
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/session.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/session.py
@@ -22,7 +22,7 @@
 CHANNEL_OPTIONS: Final = (("grpc.max_receive_message_length", -1), ("grpc.enable_retries", 0))
 
 # Only a server that refused the call before it did anything answers these.
-REFUSALS: Final = frozenset(
+REFUSAL_CODES: Final = frozenset(
     {
         grpc.StatusCode.INVALID_ARGUMENT,
         grpc.StatusCode.FAILED_PRECONDITION,
@@ -46,7 +46,7 @@
     message: str
 
 
-LostReply = Callable[[str, str], CallError]
+LostReplyHandler = Callable[[str, str], CallError]
 """Tells what a lost reply means, from the status code's name and its details."""
 
 
@@ -90,7 +90,7 @@
         self,
         method: grpc.UnaryUnaryMultiCallable[Request, Reply],
         request: Request,
-        lost: LostReply | None = None,
+        lost: LostReplyHandler | None = None,
         missing: CallError | None = None,
     ) -> Reply | CallError:
         """Makes one call.
@@ -107,14 +107,16 @@
         try:
             return method(request, timeout=self.timeout)
         except grpc.RpcError as exc:
-            if missing is not None and _status(exc)[0] is grpc.StatusCode.NOT_FOUND:
+            if missing is not None and _code_and_details(exc)[0] is grpc.StatusCode.NOT_FOUND:
                 return missing
-            return self.error(exc, lost or self._read_lost)
+            return self.error_of_failed_call(exc, lost or self._lost_read_reply)
         except KeyboardInterrupt:
-            meaning = lost or self._read_lost
+            meaning = lost or self._lost_read_reply
             return meaning(grpc.StatusCode.CANCELLED.name, texts.INTERRUPTED_CALL)
 
-    def error(self, exc: grpc.RpcError, lost: LostReply, *, begun: bool = False) -> CallError:
+    def error_of_failed_call(
+        self, exc: grpc.RpcError, lost: LostReplyHandler, *, reply_started: bool = False
+    ) -> CallError:
         """Returns what a failed call means.
 
         Args:
@@ -122,21 +124,21 @@
             lost: What a lost reply means.
             begun: Whether part of the reply has come, so that the call can't have been refused.
         """
-        code, details = _status(exc)
-        if begun:
+        code, details = _code_and_details(exc)
+        if reply_started:
             return lost(code.name, details)
-        if code in REFUSALS:
+        if code in REFUSAL_CODES:
             return CallError(exits.NOT_RUN, texts.REFUSED.format(code=code.name, details=details))
         if code is grpc.StatusCode.NOT_FOUND:
             return CallError(exits.NOT_RUN, texts.NOT_FOUND.format(details=details))
         return lost(code.name, details)
 
-    def _read_lost(self, code: str, details: str) -> CallError:
+    def _lost_read_reply(self, code: str, details: str) -> CallError:
         text = texts.READ_LOST.format(server=self.server, code=code, details=details)
         return CallError(exits.UNREACHABLE, text)
 
 
-def lost_reply(text: str, **values: str) -> LostReply:
+def lost_reply_handler(text: str, **values: str) -> LostReplyHandler:
     """Returns the meaning of a lost reply to a call with an effect: an unknown outcome.
 
     Args:
@@ -150,7 +152,7 @@
     return lost
 
 
-def _status(exc: grpc.RpcError) -> tuple[grpc.StatusCode, str]:
+def _code_and_details(exc: grpc.RpcError) -> tuple[grpc.StatusCode, str]:
     """Returns the code and the details of a failed call."""
     if isinstance(exc, grpc.Call):
         return exc.code(), exc.details() or ""
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/teamtable.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/teamtable.py
@@ -14,18 +14,18 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-READ_TIMEOUT: Final = 5.0  # Seconds for one instance's metrics.
-UNITS: Final = "wigeonarch_gateway_quota_units_total"
-REQUESTS: Final = "wigeonarch_gateway_quota_requests_total"
-RATE: Final = "wigeonarch_gateway_quota_rate"
-BURST: Final = "wigeonarch_gateway_quota_burst"
+READ_TIMEOUT_S: Final = 5.0  # Seconds for one instance's metrics.
+UNITS_METRIC: Final = "wigeonarch_gateway_quota_units_total"
+REQUESTS_METRIC: Final = "wigeonarch_gateway_quota_requests_total"
+RATE_METRIC: Final = "wigeonarch_gateway_quota_rate"
+BURST_METRIC: Final = "wigeonarch_gateway_quota_burst"
 ADMITTED: Final = "admitted"
 COLUMNS: Final = ("team", "rate", "burst", "units", "requests", "refused units", "refused requests")
 COLUMN_GAP: Final = "  "
 
 
 @dataclass(slots=True)
-class TeamUse:
+class TeamUsage:
     """What one team used.
 
     Attributes:
@@ -56,55 +56,55 @@
     """
     url = f"http://{address}/metrics"
     try:
-        with urllib.request.urlopen(url, timeout=READ_TIMEOUT) as resp:
+        with urllib.request.urlopen(url, timeout=READ_TIMEOUT_S) as resp:
             body: bytes = resp.read()
     except URLError as exc:
         raise OSError(str(exc.reason)) from exc
     return body.decode()
 
 
-def add_up(pages: Iterable[str]) -> dict[str, TeamUse]:
+def sum_usage(pages: Iterable[str]) -> dict[str, TeamUsage]:
     """Returns what each team used, by the metrics of several instances."""
-    teams: dict[str, TeamUse] = {}
+    teams: dict[str, TeamUsage] = {}
     for page in pages:
         for family in text_string_to_metric_families(page):
             for sample in family.samples:
                 if "team" in sample.labels:
-                    use = teams.setdefault(sample.labels["team"], TeamUse())
-                    _add(use, sample.name, sample.labels.get("outcome", ""), sample.value)
+                    use = teams.setdefault(sample.labels["team"], TeamUsage())
+                    _add_sample(use, sample.name, sample.labels.get("outcome", ""), sample.value)
     return teams
 
 
-def _add(use: TeamUse, name: str, outcome: str, value: float) -> None:
-    if name == RATE:
+def _add_sample(use: TeamUsage, name: str, outcome: str, value: float) -> None:
+    if name == RATE_METRIC:
         use.rate = value
-    elif name == BURST:
+    elif name == BURST_METRIC:
         use.burst = value
-    elif name == UNITS and outcome == ADMITTED:
+    elif name == UNITS_METRIC and outcome == ADMITTED:
         use.units += value
-    elif name == UNITS:
+    elif name == UNITS_METRIC:
         use.refused_units += value
-    elif name == REQUESTS and outcome == ADMITTED:
+    elif name == REQUESTS_METRIC and outcome == ADMITTED:
         use.requests += value
-    elif name == REQUESTS:
+    elif name == REQUESTS_METRIC:
         use.refused_requests += value
 
 
-def table(teams: dict[str, TeamUse]) -> str:
+def format_table(teams: dict[str, TeamUsage]) -> str:
     """Returns a table for people, the team with the most refused units first."""
     ranked = sorted(teams.items(), key=lambda item: (-item[1].refused_units, item[0]))
-    rows = [COLUMNS, *(_row(name, use) for name, use in ranked)]
+    rows = [COLUMNS, *(_format_row(name, use) for name, use in ranked)]
     widths = [max(len(row[place]) for row in rows) for place in range(len(COLUMNS))]
-    return "".join(_line(row, widths) for row in rows)
+    return "".join(_format_line(row, widths) for row in rows)
 
 
-def _row(name: str, use: TeamUse) -> tuple[str, ...]:
+def _format_row(name: str, use: TeamUsage) -> tuple[str, ...]:
     figures = (use.rate, use.burst, use.units, use.requests, use.refused_units)
     shown = ("-" if figure is None else f"{figure:.0f}" for figure in figures)
     return (name, *shown, f"{use.refused_requests:.0f}")
 
 
-def _line(row: Sequence[str], widths: Sequence[int]) -> str:
+def _format_line(row: Sequence[str], widths: Sequence[int]) -> str:
     name, *figures = row
     cells = [name.ljust(widths[0])]
     cells += [figure.rjust(width) for figure, width in zip(figures, widths[1:], strict=True)]
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/texts.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/texts.py
@@ -18,14 +18,14 @@
 )
 REFUSED: Final = "Refused ({code}: {details}); nothing was done. Correct the command."
 NOT_FOUND: Final = "Not found: {details}. Check the name with the `list` command."
-NO_SUCH_CHANGE: Final = (
+CHANGE_NOT_FOUND: Final = (
     "No change is known under {operation_id}; its first try may still be on the way. Repeat the "
     "command that made it with --operation-id {operation_id}: it is made at most once."
 )
 LOGS_HELP: Final = "read these log files of instances instead of asking one"
 METRICS_HELP: Final = "addresses of all instances' metrics; their figures are added up"
-UNREADABLE: Final = "{path}: {reason}"
-NOT_EXPLAINED: Final = (
+UNREADABLE_FILE: Final = "{path}: {reason}"
+DECISIONS_NOT_FOUND: Final = (
     "This instance has no decisions about that request. Ask the instance that received it; "
     "`wigeonctl lookup` names it."
 )
@@ -45,13 +45,13 @@
     "No reply ({code}: {details}); the instance may be draining. Look with `wigeonctl status`; "
     "draining again is safe."
 )
-STREAM_GAP: Final = "the stream skipped from chunk {expected} to {found}"
-STREAM_CUT: Final = "the stream closed before its end"
+STREAM_CHUNKS_MISSING: Final = "the stream skipped from chunk {expected} to {found}"
+STREAM_INCOMPLETE: Final = "the stream closed before its end"
 INTERRUPTED_CALL: Final = "interrupted"
 INTERRUPTED: Final = (
     "Interrupted; what was asked for may have been done. Look before asking for it again."
 )
-BEHIND: Final = (
+INSTANCE_BEHIND: Final = (
     "This instance has {name} at version {found}, older than version {expected}; nothing was sent. "
     "Repeat the command in a few seconds, or name another instance."
 )
@@ -66,7 +66,7 @@
 WAIT_TOO_LONG: Final = (
     "--{option} must be shorter than --timeout, or the reply would be lost; raise --timeout"
 )
-FOREIGN_OPTION: Final = "--{option} goes with --{other} only"
+INAPPLICABLE_OPTION: Final = "--{option} goes with --{other} only"
 LOOKUP_KEY: Final = "give either a REQUEST-ID, or both --service and --key"
 
 ADVICE_BY_STATUS: Final[dict[int, str]] = {
@@ -106,8 +106,8 @@
     "Outcome {outcome} is not one that this wigeonctl knows; it may have run. Update wigeonctl, "
     "then ask with: wigeonctl lookup {request_id}"
 )
-RETRY_WHEN: Final = " in {seconds:g} s"
-RETRY_USELESS: Final = ", but only once the reason is mended"
+RETRY_AFTER: Final = " in {seconds:g} s"
+RETRY_AFTER_FIX: Final = ", but only once the reason is mended"
 
 LOOKUP_NOT_KNOWN: Final = (
     "Nothing is known of that request: it was never received, or its record has been dropped."
@@ -137,5 +137,5 @@
         reason=reply.reason,
         message=reply.message or "no more is told",
         request_id=reply.request_id,
-        when=RETRY_WHEN.format(seconds=seconds) if seconds > 0 else RETRY_USELESS,
+        when=RETRY_AFTER.format(seconds=seconds) if seconds > 0 else RETRY_AFTER_FIX,
     )
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_baselines.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_baselines.py
@@ -21,13 +21,13 @@
 from wigeonarch_fakes.bench_workloads import Request
 from wigeonarch_fakes.bench_world import Policy, World
 
-QUEUE_LIMIT: Final = 256
-AHEAD_SECONDS: Final = 10.0
+MAX_QUEUE_LENGTH: Final = 256
+LOOKAHEAD_SECONDS: Final = 10.0
 RETRY_LOAD_SECONDS: Final = 0.5
 
 
 @dataclass(slots=True, eq=False)
-class Wanted:
+class WantedLoad:
     """A load that requests wait for."""
 
     engine: str
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class State:
+class BaselineState:
     """What a baseline keeps.
 
     Attributes:
@@ -50,58 +50,60 @@
 
     world: World
     queues: dict[str, list[Request]] = field(default_factory=lambda: defaultdict(list))
-    awaited: dict[str, Counter[AdapterVersion]] = field(
+    waiting_counts: dict[str, Counter[AdapterVersion]] = field(
         default_factory=lambda: defaultdict(Counter)
     )
-    wanted: dict[tuple[str, AdapterVersion], Wanted] = field(default_factory=dict)
-    busy: set[str] = field(default_factory=set)
+    wanted_loads: dict[tuple[str, AdapterVersion], WantedLoad] = field(default_factory=dict)
+    loading_sides: set[str] = field(default_factory=set)
 
 
-Route = Callable[[State, Request, Sequence[Engine]], Engine]
-PickLoad = Callable[[State, Sequence[Wanted]], Wanted]
-PickVictim = Callable[[State, Sequence[AdapterVersion], Engine], AdapterVersion]
+Route = Callable[[BaselineState, Request, Sequence[Engine]], Engine]
+PickLoad = Callable[[BaselineState, Sequence[WantedLoad]], WantedLoad]
+PickVictim = Callable[[BaselineState, Sequence[AdapterVersion], Engine], AdapterVersion]
 
 
-def build(world: World, route: Route, pick_load: PickLoad, pick_victim: PickVictim) -> Policy:
+def build_policy(
+    world: World, route: Route, pick_load: PickLoad, pick_victim: PickVictim
+) -> Policy:
     """Returns a policy of first-come queues from its three choices."""
-    state = State(world)
+    state = BaselineState(world)
 
     def arrive(request: Request) -> None:
-        engines = [each for each in world.engines.values() if _usable(world, request, each)]
+        engines = [each for each in world.engines.values() if _is_usable(world, request, each)]
         if not engines:
             world.refuse(request, "no_endpoint")
             return
         engine = route(state, request, engines)
-        if len(state.queues[engine.name]) >= QUEUE_LIMIT:
+        if len(state.queues[engine.name]) >= MAX_QUEUE_LENGTH:
             world.refuse(request, "queue_full")
             return
-        engine.wait_here(request)
+        engine.begin_wait(request)
         state.queues[engine.name].append(request)
-        state.awaited[engine.name][request.target] += 1
-        _want(state, engine, request.target)
+        state.waiting_counts[engine.name][request.target] += 1
+        _add_wanted_load(state, engine, request.target)
         pump(engine)
 
     def pump(engine: Engine) -> None:
-        _grant(state, engine)
-        for target in state.awaited[engine.name]:
-            _want(state, engine, target)
+        _submit_ready_requests(state, engine)
+        for target in state.waiting_counts[engine.name]:
+            _add_wanted_load(state, engine, target)
         pump_loads()
 
     def pump_loads() -> None:
         while (load := _next_load(state, pick_load)) is not None:
             engine = world.engines[load.engine]
-            victim = _victim(state, engine, pick_victim)
-            del state.wanted[load.engine, load.target]
-            side = _side(world, engine)
-            state.busy.add(side)
+            victim = _choose_victim(state, engine, pick_victim)
+            del state.wanted_loads[load.engine, load.target]
+            side = _side_of(world, engine)
+            state.loading_sides.add(side)
             engine.load(load.target, victim, _ender(load, engine, side))
 
-    def _ender(load: Wanted, engine: Engine, side: str) -> Callable[[bool], None]:
+    def _ender(load: WantedLoad, engine: Engine, side: str) -> Callable[[bool], None]:
         def ended(ok: bool) -> None:
-            state.busy.discard(side)
-            if not ok and load.target in state.awaited[engine.name]:
+            state.loading_sides.discard(side)
+            if not ok and load.target in state.waiting_counts[engine.name]:
                 load.not_before = world.clock.now + RETRY_LOAD_SECONDS
-                state.wanted[load.engine, load.target] = load
+                state.wanted_loads[load.engine, load.target] = load
                 world.clock.after(RETRY_LOAD_SECONDS, pump_loads)
             pump(engine)
 
@@ -110,153 +112,161 @@
     def leave(request: Request) -> None:
         engine = world.engines[request.engine]
         if request in state.queues[engine.name]:
-            _take(state, engine, request)
+            _remove_from_queue(state, engine, request)
         pump(engine)
 
-    return Policy(arrive=arrive, finished=leave, expired=leave)
+    return Policy(on_arrival=arrive, on_finished=leave, on_expired=leave)
 
 
-def _usable(world: World, request: Request, engine: Engine) -> bool:
-    return engine.up and world.reaches(request.zone, engine.zone)
+def _is_usable(world: World, request: Request, engine: Engine) -> bool:
+    return engine.up and world.can_reach(request.zone, engine.zone)
 
 
-def _side(world: World, engine: Engine) -> str:
-    return engine.zone if engine.zone == world.cut_zone else ""
+def _side_of(world: World, engine: Engine) -> str:
+    return engine.zone if engine.zone == world.isolated_zone else ""
 
 
-def _want(state: State, engine: Engine, target: AdapterVersion) -> None:
+def _add_wanted_load(state: BaselineState, engine: Engine, target: AdapterVersion) -> None:
     if target in engine.copies or target in engine.loading:
         return
-    wanted = Wanted(engine.name, target, state.world.clock.now)
-    state.wanted.setdefault((engine.name, target), wanted)
+    wanted = WantedLoad(engine.name, target, state.world.clock.now)
+    state.wanted_loads.setdefault((engine.name, target), wanted)
 
 
-def _take(state: State, engine: Engine, request: Request) -> None:
+def _remove_from_queue(state: BaselineState, engine: Engine, request: Request) -> None:
     state.queues[engine.name].remove(request)
-    awaited = state.awaited[engine.name]
+    awaited = state.waiting_counts[engine.name]
     awaited[request.target] -= 1
     if not awaited[request.target]:
         del awaited[request.target]
 
 
-def _grant(state: State, engine: Engine) -> None:
+def _submit_ready_requests(state: BaselineState, engine: Engine) -> None:
     queue = state.queues[engine.name]
     if not engine.up:
         return
-    if not any(target in engine.copies for target in state.awaited[engine.name]):
+    if not any(target in engine.copies for target in state.waiting_counts[engine.name]):
         return
     for request in list(queue):
         if engine.in_progress >= engine.spec.max_batch:
             return
         if request.target in engine.copies:
-            _take(state, engine, request)
+            _remove_from_queue(state, engine, request)
             engine.submit(request)
 
 
-def _next_load(state: State, pick_load: PickLoad) -> Wanted | None:
+def _next_load(state: BaselineState, pick_load: PickLoad) -> WantedLoad | None:
     world = state.world
     free = {
         engine.name
         for engine in world.engines.values()
-        if _side(world, engine) not in state.busy and _has_room(state, engine)
+        if _side_of(world, engine) not in state.loading_sides and _can_load(state, engine)
     }
     if not free:
         return None
-    state.wanted = {key: each for key, each in state.wanted.items() if _still_wanted(state, each)}
+    state.wanted_loads = {
+        key: each for key, each in state.wanted_loads.items() if _still_wanted(state, each)
+    }
     possible = [
         each
-        for each in state.wanted.values()
+        for each in state.wanted_loads.values()
         if each.engine in free and each.not_before <= world.clock.now
     ]
     return pick_load(state, possible) if possible else None
 
 
-def _still_wanted(state: State, load: Wanted) -> bool:
+def _still_wanted(state: BaselineState, load: WantedLoad) -> bool:
     engine = state.world.engines[load.engine]
     if load.target in engine.copies or load.target in engine.loading:
         return False
-    return load.target in state.awaited[load.engine]
+    return load.target in state.waiting_counts[load.engine]
 
 
-def _has_room(state: State, engine: Engine) -> bool:
+def _can_load(state: BaselineState, engine: Engine) -> bool:
     if not engine.up:
         return False
-    return engine.slots_used < engine.spec.slots or bool(_idle(state, engine))
+    return engine.slots_used < engine.spec.slots or bool(_evictable(state, engine))
 
 
-def _idle(state: State, engine: Engine) -> list[AdapterVersion]:
-    awaited = state.awaited[engine.name]
+def _evictable(state: BaselineState, engine: Engine) -> list[AdapterVersion]:
+    awaited = state.waiting_counts[engine.name]
     return [
         target for target, copy in engine.copies.items() if not copy.users and target not in awaited
     ]
 
 
-def _victim(state: State, engine: Engine, pick_victim: PickVictim) -> AdapterVersion | None:
+def _choose_victim(
+    state: BaselineState, engine: Engine, pick_victim: PickVictim
+) -> AdapterVersion | None:
     if engine.slots_used < engine.spec.slots:
         return None
-    return pick_victim(state, _idle(state, engine), engine)
+    return pick_victim(state, _evictable(state, engine), engine)
 
 
-def _load_of(state: State, engine: Engine) -> int:
+def _request_count(state: BaselineState, engine: Engine) -> int:
     return engine.in_progress + len(state.queues[engine.name])
 
 
-def oldest(state: State, wanted: Sequence[Wanted]) -> Wanted:
+def pick_oldest_load(state: BaselineState, wanted: Sequence[WantedLoad]) -> WantedLoad:
     """The load that is wanted for the longest time."""
     return min(wanted, key=lambda load: load.since)
 
 
-def least_recent(state: State, idle: Sequence[AdapterVersion], engine: Engine) -> AdapterVersion:
+def pick_least_recently_used(
+    state: BaselineState, idle: Sequence[AdapterVersion], engine: Engine
+) -> AdapterVersion:
     """The copy whose last use is furthest back."""
-    return min(idle, key=lambda target: (engine.copies[target].used, target))
+    return min(idle, key=lambda target: (engine.copies[target].last_used, target))
 
 
-def to_random(state: State, request: Request, engines: Sequence[Engine]) -> Engine:
+def route_randomly(state: BaselineState, request: Request, engines: Sequence[Engine]) -> Engine:
     """Any engine."""
     return state.world.rng.choice(engines)
 
 
-def to_least_loaded(state: State, request: Request, engines: Sequence[Engine]) -> Engine:
+def route_to_least_loaded(
+    state: BaselineState, request: Request, engines: Sequence[Engine]
+) -> Engine:
     """The engine with the fewest requests."""
-    return min(engines, key=lambda engine: (_load_of(state, engine), engine.name))
+    return min(engines, key=lambda engine: (_request_count(state, engine), engine.name))
 
 
-def to_home(state: State, request: Request, engines: Sequence[Engine]) -> Engine:
+def route_to_home(state: BaselineState, request: Request, engines: Sequence[Engine]) -> Engine:
     """The adapter's first engine by rendezvous hash."""
     by_name = {engine.name: engine for engine in engines}
     return by_name[homes.ranked(str(request.target), list(by_name))[0]]
 
 
-def to_loaded(state: State, request: Request, engines: Sequence[Engine]) -> Engine:
+def route_to_loaded(state: BaselineState, request: Request, engines: Sequence[Engine]) -> Engine:
     """The least loaded engine that has the adapter or waits for it; else the least loaded."""
     having = [
         engine
         for engine in engines
         if request.target in engine.copies
         or request.target in engine.loading
-        or request.target in state.awaited[engine.name]
+        or request.target in state.waiting_counts[engine.name]
     ]
-    return to_least_loaded(state, request, having or engines)
+    return route_to_least_loaded(state, request, having or engines)
 
 
 def random_lru(world: World) -> Policy:
     """Random engine, oldest load, least recently used victim."""
-    return build(world, to_random, oldest, least_recent)
+    return build_policy(world, route_randomly, pick_oldest_load, pick_least_recently_used)
 
 
 def least_loaded_lru(world: World) -> Policy:
     """Least loaded engine, oldest load, least recently used victim."""
-    return build(world, to_least_loaded, oldest, least_recent)
+    return build_policy(world, route_to_least_loaded, pick_oldest_load, pick_least_recently_used)
 
 
 def rendezvous_lru(world: World) -> Policy:
     """Home engine, oldest load, least recently used victim."""
-    return build(world, to_home, oldest, least_recent)
+    return build_policy(world, route_to_home, pick_oldest_load, pick_least_recently_used)
 
 
 def loaded_lru(world: World) -> Policy:
     """Engine that has the adapter, oldest load, least recently used victim; all known at once."""
-    return build(world, to_loaded, oldest, least_recent)
+    return build_policy(world, route_to_loaded, pick_oldest_load, pick_least_recently_used)
 
 
 def clairvoyant(world: World) -> Policy:
@@ -278,33 +288,39 @@
     def ahead(target: AdapterVersion) -> int:
         times = uses[target]
         now = world.clock.now
-        return bisect.bisect_right(times, now + AHEAD_SECONDS) - bisect.bisect_right(times, now)
+        return bisect.bisect_right(times, now + LOOKAHEAD_SECONDS) - bisect.bisect_right(times, now)
 
-    def furthest(state: State, idle: Sequence[AdapterVersion], engine: Engine) -> AdapterVersion:
+    def furthest(
+        state: BaselineState, idle: Sequence[AdapterVersion], engine: Engine
+    ) -> AdapterVersion:
         return max(idle, key=lambda target: (next_use(target), target))
 
-    def most_useful(state: State, wanted: Sequence[Wanted]) -> Wanted:
-        def worth(load: Wanted) -> float:
-            return state.awaited[load.engine][load.target] + ahead(load.target)
+    def most_useful(state: BaselineState, wanted: Sequence[WantedLoad]) -> WantedLoad:
+        def worth(load: WantedLoad) -> float:
+            return state.waiting_counts[load.engine][load.target] + ahead(load.target)
 
         return max(wanted, key=worth)
 
-    def route(state: State, request: Request, engines: Sequence[Engine]) -> Engine:
+    def route(state: BaselineState, request: Request, engines: Sequence[Engine]) -> Engine:
         having = [engine for engine in engines if request.target in engine.copies]
         if having:
-            return to_least_loaded(state, request, having)
+            return route_to_least_loaded(state, request, having)
         coming = [engine for engine in engines if request.target in engine.loading]
-        queued = [engine for engine in engines if request.target in state.awaited[engine.name]]
+        queued = [
+            engine for engine in engines if request.target in state.waiting_counts[engine.name]
+        ]
         if coming or queued:
             return (coming or queued)[0]
-        return max(engines, key=lambda engine: (_room(state, engine), -_load_of(state, engine)))
+        return max(
+            engines, key=lambda engine: (_room(state, engine), -_request_count(state, engine))
+        )
 
-    def _room(state: State, engine: Engine) -> float:
+    def _room(state: BaselineState, engine: Engine) -> float:
         if engine.slots_used < engine.spec.slots:
             return float("inf")
-        return max((next_use(target) for target in _idle(state, engine)), default=0.0)
+        return max((next_use(target) for target in _evictable(state, engine)), default=0.0)
 
-    return build(world, route, most_useful, furthest)
+    return build_policy(world, route, most_useful, furthest)
 
 
 BASELINES: Final[dict[str, Callable[[World], Policy]]] = {
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_engine.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_engine.py
@@ -15,7 +15,7 @@
 
 from wigeonarch_core.refs import AdapterVersion
 
-from wigeonarch_fakes.bench_store import EPSILON, MS, Action, Clock, Ended, Store
+from wigeonarch_fakes.bench_store import EPSILON, MS, Action, Clock, EndCallback, Store
 from wigeonarch_fakes.bench_workloads import EngineSpec, Request
 
 
@@ -38,9 +38,9 @@
     """
 
     steps: int = 0
-    filled: int = 0
-    busy: float = 0.0
-    idle_places: float = 0.0
+    request_steps: int = 0
+    busy_seconds: float = 0.0
+    idle_place_seconds: float = 0.0
     loads: int = 0
     failed_loads: int = 0
     evictions: int = 0
@@ -52,7 +52,7 @@
 @dataclass(slots=True, eq=False)
 class _Running:
     request: Request
-    ends_at: int
+    last_step: int
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
 
     users: int = 0
     served: int = 0
-    used: float = 0.0
+    last_used: float = 0.0
 
 
 class Engine:
@@ -85,7 +85,6 @@
     """
 
     __slots__ = (
-        "_anchor",
         "_clock",
         "_epoch",
         "_joining",
@@ -93,6 +92,7 @@
         "_running",
         "_step",
         "_step_seconds",
+        "_steps_begin_at",
         "_store",
         "_waiting",
         "copies",
@@ -125,7 +125,7 @@
         self._prefixes: OrderedDict[int, None] = OrderedDict()
         self._waiting: dict[AdapterVersion, dict[int, Request]] = {}
         self._step = 0
-        self._anchor = 0.0
+        self._steps_begin_at = 0.0
         self._step_seconds = 0.0
         self._epoch = 0
 
@@ -139,14 +139,14 @@
         """Slots that hold an adapter version or wait for one."""
         return len(self.copies) + len(self.loading)
 
-    def wait_here(self, request: Request) -> None:
+    def begin_wait(self, request: Request) -> None:
         """Notes that a request waits for this engine; starts its stall if its adapter is cold."""
         request.engine = self.name
         self._waiting.setdefault(request.target, {})[request.number] = request
         if request.target not in self.copies:
             request.cold_since = self._clock.now
 
-    def wait_no_more(self, request: Request) -> None:
+    def end_wait(self, request: Request) -> None:
         """Notes that a request no longer waits here; ends its stall."""
         waiting = self._waiting.get(request.target, {})
         waiting.pop(request.number, None)
@@ -156,30 +156,32 @@
 
     def submit(self, request: Request) -> bool:
         """Takes a request into the batch; False when it is down or has not the adapter."""
-        self.wait_no_more(request)
+        self.end_wait(request)
         copy = self.copies.get(request.target)
         if not self.up or copy is None:
             self.figures.not_loaded += 1
             return False
         copy.users += 1
-        copy.used = self._clock.now
+        copy.last_used = self._clock.now
         request.started = self._clock.now
         self._joining.append(request)
         if len(self._joining) == 1:
-            self._clock.at(self._next_boundary(), self._join_at_boundary())
+            self._clock.at(self._next_boundary(), self._join_action())
         return True
 
-    def load(self, target: AdapterVersion, victim: AdapterVersion | None, ended: Ended) -> None:
+    def load(
+        self, target: AdapterVersion, victim: AdapterVersion | None, on_ended: EndCallback
+    ) -> None:
         """Evicts, then loads; `ended` is told whether the load succeeded."""
         if victim is not None:
             self.evict(victim)
         if not self.up or self.slots_used >= self.spec.slots:
             self.figures.failed_loads += 1
-            self._clock.after(MS, lambda: ended(False))
+            self._clock.after(MS, lambda: on_ended(False))
             return
         self.loading.add(target)
         incarnation = self.incarnation
-        self._store.start(lambda ok: self._load_ended(target, incarnation, ok, ended))
+        self._store.start(lambda ok: self._finish_load(target, incarnation, ok, on_ended))
 
     def evict(self, target: AdapterVersion) -> None:
         """Frees a slot."""
@@ -194,7 +196,7 @@
 
     def restart(self) -> None:
         """Loses every adapter, prefix and running request, and is down for a while."""
-        self._account(self._clock.now)
+        self._account_steps(self._clock.now)
         self.figures.wasted_loads += sum(copy.served == 0 for copy in self.copies.values())
         lost = [each.request for each in self._running] + self._joining
         for target in self.copies:
@@ -215,20 +217,22 @@
     def _come_up(self) -> None:
         self.up = True
 
-    def _load_ended(self, target: AdapterVersion, incarnation: int, ok: bool, ended: Ended) -> None:
+    def _finish_load(
+        self, target: AdapterVersion, incarnation: int, ok: bool, on_ended: EndCallback
+    ) -> None:
         if incarnation != self.incarnation:
-            ended(False)
+            on_ended(False)
             return
         self.loading.discard(target)
         if not ok:
             self.figures.failed_loads += 1
-            ended(False)
+            on_ended(False)
             return
         self.figures.loads += 1
-        self.copies[target] = Copy(used=self._clock.now)
+        self.copies[target] = Copy(last_used=self._clock.now)
         for request in self._waiting.get(target, {}).values():
             self._end_stall(request)
-        ended(True)
+        on_ended(True)
 
     def _end_stall(self, request: Request) -> None:
         if request.cold_since < 0.0:
@@ -239,10 +243,12 @@
     def _next_boundary(self) -> float:
         if not self._running:
             return self._clock.now
-        steps = math.floor((self._clock.now - self._anchor) / self._step_seconds + EPSILON) + 1
-        return self._anchor + max(0, steps) * self._step_seconds
+        steps = (
+            math.floor((self._clock.now - self._steps_begin_at) / self._step_seconds + EPSILON) + 1
+        )
+        return self._steps_begin_at + max(0, steps) * self._step_seconds
 
-    def _join_at_boundary(self) -> Action:
+    def _join_action(self) -> Action:
         incarnation = self.incarnation
 
         def join() -> None:
@@ -254,16 +260,16 @@
 
     def _change_batch(self) -> None:
         """At a boundary: accounts the steps done, lets requests leave and join, goes on."""
-        self._account(self._clock.now)
-        leaving = [each for each in self._running if each.ends_at <= self._step]
-        self._running = [each for each in self._running if each.ends_at > self._step]
-        prefill = self._join_waiting()
+        self._account_steps(self._clock.now)
+        leaving = [each for each in self._running if each.last_step <= self._step]
+        self._running = [each for each in self._running if each.last_step > self._step]
+        prefill = self._admit_joining()
         self._epoch += 1
-        self._plan(prefill)
+        self._schedule_batch_change(prefill)
         for each in leaving:
-            self._leave(each.request)
+            self._finish_request(each.request)
 
-    def _join_waiting(self) -> float:
+    def _admit_joining(self) -> float:
         room = self.spec.max_batch - len(self._running)
         joining, self._joining = self._joining[:room], self._joining[room:]
         prefill = 0.0
@@ -275,7 +281,7 @@
         return prefill
 
     def _mark_first_tokens(self, joining: list[Request], prefill: float) -> None:
-        when = self._clock.now + prefill + self._seconds_of_step()
+        when = self._clock.now + prefill + self._compute_step_seconds()
         for request in joining:
             if request.first_token < 0.0:
                 request.first_token = when
@@ -288,40 +294,41 @@
             self._prefixes.popitem(last=False)
         return (self.spec.cached_prefill_ms if cached else self.spec.prefill_ms) * MS
 
-    def _seconds_of_step(self) -> float:
+    def _compute_step_seconds(self) -> float:
         distinct = len({each.request.target for each in self._running})
         spec = self.spec
         length = spec.base_ms + spec.per_sequence_ms * len(self._running)
         return (length + spec.per_adapter_ms * distinct) * MS
 
-    def _plan(self, prefill: float) -> None:
+    def _schedule_batch_change(self, prefill: float) -> None:
         if not self._running:
             return
-        self._step_seconds = self._seconds_of_step()
-        self._anchor = self._clock.now + prefill
-        steps = min(each.ends_at for each in self._running) - self._step
+        self._step_seconds = self._compute_step_seconds()
+        self._steps_begin_at = self._clock.now + prefill
+        steps = min(each.last_step for each in self._running) - self._step
         epoch = self._epoch
         self._clock.at(
-            self._anchor + steps * self._step_seconds, lambda: self._change_if_current(epoch)
+            self._steps_begin_at + steps * self._step_seconds,
+            lambda: self._change_if_current(epoch),
         )
 
     def _change_if_current(self, epoch: int) -> None:
         if epoch == self._epoch:
             self._change_batch()
 
-    def _account(self, until: float) -> None:
+    def _account_steps(self, until: float) -> None:
         if not self._running:
             return
-        steps = max(0, round((until - self._anchor) / self._step_seconds))
+        steps = max(0, round((until - self._steps_begin_at) / self._step_seconds))
         batch = len(self._running)
         seconds = steps * self._step_seconds
         self._step += steps
         self.figures.steps += steps
-        self.figures.filled += steps * batch
-        self.figures.busy += seconds
-        self.figures.idle_places += (self.spec.max_batch - batch) * seconds
+        self.figures.request_steps += steps * batch
+        self.figures.busy_seconds += seconds
+        self.figures.idle_place_seconds += (self.spec.max_batch - batch) * seconds
 
-    def _leave(self, request: Request) -> None:
+    def _finish_request(self, request: Request) -> None:
         copy = self.copies.get(request.target)
         if copy is not None:
             copy.users -= 1
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_figures.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_figures.py
@@ -12,9 +12,9 @@
 from wigeonarch_fakes.bench_workloads import Request
 from wigeonarch_fakes.bench_world import World
 
-JAIN_LEAST_REQUESTS: Final = 5
-WINDOW_SECONDS: Final = 15.0
-STEADY_FACTOR: Final = 1.25
+MIN_REQUESTS_FOR_JAIN: Final = 5
+RECOVERY_WINDOW_SECONDS: Final = 15.0
+RECOVERED_STALL_FACTOR: Final = 1.25
 
 
 class Figures(msgspec.Struct, kw_only=True):
@@ -96,8 +96,8 @@
         stall_worst=stalls[-1] if stalls else 0.0,
         wait_mean=_mean([each.started - each.arrival for each in served]),
         first_token_p95=percentile(firsts, 0.95),
-        fill=sum(each.filled for each in engines) / max(1, places),
-        idle_places=sum(each.idle_places for each in engines) / max(1, len(world.requests)),
+        fill=sum(each.request_steps for each in engines) / max(1, places),
+        idle_places=sum(each.idle_place_seconds for each in engines) / max(1, len(world.requests)),
         tokens_rate=sum(each.tokens for each in served)
         / (world.workload.seconds - world.workload.warmup),
         loads=sum(each.loads for each in engines),
@@ -107,9 +107,9 @@
         violations=sum(each.violations for each in engines),
         not_loaded=sum(each.not_loaded for each in engines),
         refusals=dict(sorted(refusals.items())),
-        starved=_starved(counted),
-        jain=_jain(counted),
-        recovery=_recovery(world),
+        starved=_count_starved(counted),
+        jain=_jain_index(counted),
+        recovery=_recovery_seconds(world),
     )
 
 
@@ -131,18 +131,18 @@
     return statistics.fmean(values) if values else 0.0
 
 
-def _jain(requests: Iterable[Request]) -> float:
+def _jain_index(requests: Iterable[Request]) -> float:
     asked: Counter[str] = Counter()
     answered: Counter[str] = Counter()
     for request in requests:
         asked[request.caller] += 1
         answered[request.caller] += not request.refusal
-    shares = [answered[c] / count for c, count in asked.items() if count >= JAIN_LEAST_REQUESTS]
+    shares = [answered[c] / count for c, count in asked.items() if count >= MIN_REQUESTS_FOR_JAIN]
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 1.0
 
 
-def _starved(requests: Iterable[Request]) -> int:
+def _count_starved(requests: Iterable[Request]) -> int:
     """Counts requests past their deadline while a later equal one was served by the same engine."""
     latest: dict[tuple[str, object, int], float] = defaultdict(lambda: -1.0)
     late: list[Request] = []
@@ -154,12 +154,12 @@
             late.append(request)
     return sum(
         latest[(each.engine, each.target, each.priority)] > each.arrival
-        and _served_before(requests, each)
+        and _later_request_was_served(requests, each)
         for each in late
     )
 
 
-def _served_before(requests: Iterable[Request], late: Request) -> bool:
+def _later_request_was_served(requests: Iterable[Request], late: Request) -> bool:
     return any(
         each.arrival > late.arrival
         and 0.0 <= each.started <= late.ended
@@ -168,7 +168,7 @@
     )
 
 
-def _recovery(world: World) -> float:
+def _recovery_seconds(world: World) -> float:
     sudden = [f.at for f in world.workload.faults if f.kind in ("shift", "restart")]
     if not sudden:
         return -1.0
@@ -179,10 +179,10 @@
     windows: defaultdict[int, list[float]] = defaultdict(list)
     for request in world.requests:
         if request.arrival >= start:
-            number = int((request.arrival - start) / WINDOW_SECONDS)
+            number = int((request.arrival - start) / RECOVERY_WINDOW_SECONDS)
             windows[number].append(charged_stall(request))
     for number in sorted(windows):
         following = windows[number] + windows.get(number + 1, [])
-        if _mean(following) <= before * STEADY_FACTOR:
-            return number * WINDOW_SECONDS
+        if _mean(following) <= before * RECOVERED_STALL_FACTOR:
+            return number * RECOVERY_WINDOW_SECONDS
     return world.workload.seconds - start
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_report.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_report.py
@@ -10,10 +10,10 @@
 
 from wigeonarch_fakes.bench_figures import Figures
 
-DIGITS: Final = 4
+STORED_DIGITS: Final = 4
 CLAIRVOYANT: Final = "clairvoyant"
-PLAIN: Final = ("random", "least_loaded_lru", "rendezvous_lru")
-STRONG: Final = ("loaded_lru",)
+PLAIN_BASELINES: Final = ("random", "least_loaded_lru", "rendezvous_lru")
+STRONG_BASELINES: Final = ("loaded_lru",)
 COLUMNS: Final = (
     ("stall_mean", "stall", 2),
     ("stall_p50", "p50", 2),
@@ -65,7 +65,7 @@
 
 def summarize(runs: Sequence[Figures], weights: Mapping[str, float]) -> Summary:
     """Returns each figure's mean and spread over the seeds, with the user's score."""
-    rows = [_numbers(run, weights) for run in runs]
+    rows = [_numeric_figures(run, weights) for run in runs]
     return {name: _spread([row[name] for row in rows]) for name in rows[0]}
 
 
@@ -75,7 +75,7 @@
     return stalls + weights["batch_weight"] * figures.idle_places
 
 
-def _numbers(figures: Figures, weights: Mapping[str, float]) -> dict[str, float]:
+def _numeric_figures(figures: Figures, weights: Mapping[str, float]) -> dict[str, float]:
     numbers = {
         name: float(value)
         for name, value in msgspec.structs.asdict(figures).items()
@@ -87,45 +87,47 @@
 
 
 def _spread(values: Sequence[float]) -> Spread:
-    mean = round(statistics.fmean(values), DIGITS)
-    return Spread(mean, round(min(values), DIGITS), round(max(values), DIGITS))
+    mean = round(statistics.fmean(values), STORED_DIGITS)
+    return Spread(mean, round(min(values), STORED_DIGITS), round(max(values), STORED_DIGITS))
 
 
-def table(workload: str, summaries: Mapping[str, Summary]) -> str:
+def text_table(workload: str, summaries: Mapping[str, Summary]) -> str:
     """Returns one workload's table as text, one policy a line."""
     lines = [f"{workload:<24}" + "".join(f"{title:>14}" for _, title, _ in COLUMNS)]
     for policy, summary in summaries.items():
-        cells = [_cell(summary[name], digits) for name, _, digits in COLUMNS]
+        cells = [_text_cell(summary[name], digits) for name, _, digits in COLUMNS]
         lines.append(f"  {policy:<22}" + "".join(f"{cell:>14}" for cell in cells))
     return "\n".join(lines)
 
 
-def _cell(spread: Spread, digits: int) -> str:
+def _text_cell(spread: Spread, digits: int) -> str:
     half = (spread.most - spread.least) / 2.0
     return f"{spread.mean:.{digits}f}±{half:.{digits}f}"
 
 
-def markdown(summaries: Mapping[str, Mapping[str, Summary]], policies: Sequence[str]) -> str:
+def markdown_table(summaries: Mapping[str, Mapping[str, Summary]], policies: Sequence[str]) -> str:
     """Returns one table of all workloads: mean / p99 stall, fill and unserved of some policies."""
     head = "| workload | " + " | ".join(policies) + " |"
     lines = [head, "|---" * (len(policies) + 1) + "|"]
     for workload, by_policy in summaries.items():
-        cells = [_brief(by_policy[policy]) for policy in policies]
+        cells = [_markdown_cell(by_policy[policy]) for policy in policies]
         lines.append(f"| {workload} | " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
-def _brief(summary: Summary) -> str:
+def _markdown_cell(summary: Summary) -> str:
     stall = f"{summary['stall_mean'].mean:.2f} / {summary['stall_p99'].mean:.1f}"
     return f"{stall}, {summary['fill'].mean:.3f}, {summary['unserved'].mean:.0f}"
 
 
-def aims(summaries: Mapping[str, Summary], own: str) -> str:
+def compare_with_baselines(summaries: Mapping[str, Summary], own: str) -> str:
     """Returns one line: the project's policy against the best baselines and the clairvoyant."""
     mine = summaries[own]
     parts = [
-        _against("best named baseline", mine, summaries, PLAIN),
-        _against("best of all baselines", mine, summaries, (*PLAIN, *STRONG)),
+        _ratios_against("best named baseline", mine, summaries, PLAIN_BASELINES),
+        _ratios_against(
+            "best of all baselines", mine, summaries, (*PLAIN_BASELINES, *STRONG_BASELINES)
+        ),
     ]
     if CLAIRVOYANT in summaries:
         bound = summaries[CLAIRVOYANT]
@@ -133,19 +135,19 @@
     return "  " + "; ".join(part for part in parts if part)
 
 
-def _against(
+def _ratios_against(
     title: str, mine: Summary, summaries: Mapping[str, Summary], names: Iterable[str]
 ) -> str:
     rivals = [summaries[name] for name in names if name in summaries]
     if not rivals:
         return ""
-    stall = _best_ratio(mine, rivals, "stall_mean")
-    worst = _best_ratio(mine, rivals, "stall_p99")
+    stall = _ratio_to_least(mine, rivals, "stall_mean")
+    worst = _ratio_to_least(mine, rivals, "stall_p99")
     fill = mine["fill"].mean / max(rival["fill"].mean for rival in rivals)
     return f"{title}: stall x{stall:.2f}, p99 x{worst:.2f}, fill x{fill:.2f}"
 
 
-def _best_ratio(mine: Summary, rivals: Iterable[Summary], name: str) -> float:
+def _ratio_to_least(mine: Summary, rivals: Iterable[Summary], name: str) -> float:
     least = min(rival[name].mean for rival in rivals)
     return mine[name].mean / least if least else float("inf")
 
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_runs.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_runs.py
@@ -23,9 +23,9 @@
 from wigeonarch_fakes.bench_workloads import Deployment, Workload, read_workload
 from wigeonarch_fakes.bench_world import World
 
-CORE: Final = "packages/wigeonarch-core/src"
-OWN: Final = "own"
-LAST: Final = "last"
+CORE_PATH: Final = "packages/wigeonarch-core/src"
+OWN_POLICY: Final = "own"
+LAST_POLICY: Final = "last"
 
 
 class Case(msgspec.Struct, frozen=True):
@@ -54,7 +54,7 @@
     """Runs one case and returns its figures."""
     workload, deployment = read_workload(Path(case.workload))
     world = World(workload, deployment, case.seed)
-    if case.policy in (OWN, LAST):
+    if case.policy in (OWN_POLICY, LAST_POLICY):
         return _run_project_policy(world, deployment, case)
     from wigeonarch_fakes.bench_baselines import BASELINES
 
@@ -65,14 +65,14 @@
 def _run_project_policy(world: World, deployment: Deployment, case: Case) -> Figures:
     from wigeonarch_core.policy_options import PolicyOptions
 
-    from wigeonarch_fakes.bench_serving import build
+    from wigeonarch_fakes.bench_serving import build_policy
 
     objective = read_objective(Path(case.objective))
     known = set(PolicyOptions.__struct_fields__)
     values = {name: value for name, value in objective.policy.items() if name in known}
     values["load_rate"] = deployment.load_rate
     values["load_seconds"] = 1.0 / deployment.load_rate
-    world.run(build(world, msgspec.convert(values, PolicyOptions)))
+    world.run(build_policy(world, msgspec.convert(values, PolicyOptions)))
     return measure(world)
 
 
@@ -101,31 +101,33 @@
         sys.path[:] = before
 
 
-def last_commit(root: Path) -> str:
+def last_policy_commit(root: Path) -> str:
     """Returns the commit of the last policy that differs from the present one; empty if none."""
-    changed = _git(root, "status", "--porcelain", "--", CORE).strip()
-    commits = _git(root, "log", "-n", "2", "--format=%h", "--", CORE).split()
+    changed = _git_output(root, "status", "--porcelain", "--", CORE_PATH).strip()
+    commits = _git_output(root, "log", "-n", "2", "--format=%h", "--", CORE_PATH).split()
     place = 0 if changed else 1
     return commits[place] if place < len(commits) else ""
 
 
-def present_commit(root: Path) -> str:
+def current_commit(root: Path) -> str:
     """Returns the commit at hand, with `+` when files differ from it."""
-    commit = _git(root, "rev-parse", "--short", "HEAD").strip()
-    return commit + ("+" if _git(root, "status", "--porcelain", "--", CORE).strip() else "")
+    commit = _git_output(root, "rev-parse", "--short", "HEAD").strip()
+    return commit + (
+        "+" if _git_output(root, "status", "--porcelain", "--", CORE_PATH).strip() else ""
+    )
 
 
 def export_core(root: Path, commit: str, target: Path) -> Path:
     """Writes the core of a commit below a directory; returns the path to import it from."""
     archive = subprocess.run(
-        ["git", "-C", str(root), "archive", commit, CORE], check=True, capture_output=True
+        ["git", "-C", str(root), "archive", commit, CORE_PATH], check=True, capture_output=True
     ).stdout
     with tarfile.open(fileobj=BytesIO(archive)) as packed:
         packed.extractall(target, filter="data")
-    return target / CORE
+    return target / CORE_PATH
 
 
-def _git(root: Path, *arguments: str) -> str:
+def _git_output(root: Path, *arguments: str) -> str:
     done = subprocess.run(
         ["git", "-C", str(root), *arguments], check=False, capture_output=True, text=True
     )
@@ -134,7 +136,7 @@
     return done.stdout
 
 
-def workloads(root: Path, quick: bool, names: Iterable[str]) -> list[tuple[Path, Workload]]:
+def select_workloads(root: Path, quick: bool, names: Iterable[str]) -> list[tuple[Path, Workload]]:
     """Returns the workload files to run, by name."""
     wanted = set(names)
     found = [(path, read_workload(path)[0]) for path in sorted(root.glob("*.json"))]
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_store.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_store.py
@@ -16,7 +16,7 @@
 EPSILON: Final = 1e-9
 
 Action = Callable[[], None]
-Ended = Callable[[bool], None]
+EndCallback = Callable[[bool], None]
 
 
 class Clock:
@@ -52,9 +52,9 @@
 
 @dataclass(slots=True, eq=False)
 class _Transfer:
-    left: float
-    ended: Ended
-    fails_at: float
+    remaining: float
+    on_ended: EndCallback
+    fails_at_remaining: float
 
 
 class Store:
@@ -67,16 +67,16 @@
     """
 
     __slots__ = (
+        "_advanced_at",
         "_clock",
         "_epoch",
         "_next_start",
         "_rate",
         "_rng",
-        "_seen",
         "_transfers",
         "fail_share",
         "speed",
-        "started",
+        "transfers_started",
     )
 
     def __init__(self, clock: Clock, rate: float, rng: random.Random) -> None:
@@ -85,17 +85,17 @@
         self._rng = rng
         self._transfers: list[_Transfer] = []
         self._next_start = 0.0
-        self._seen = 0.0
+        self._advanced_at = 0.0
         self._epoch = 0
         self.speed = 1.0
         self.fail_share = 0.0
-        self.started = 0
+        self.transfers_started = 0
 
-    def start(self, ended: Ended) -> None:
+    def start(self, on_ended: EndCallback) -> None:
         """Begins a transfer, as soon as the rate of starts allows."""
         when = max(self._clock.now, self._next_start)
         self._next_start = when + 1.0 / self._rate
-        self._clock.at(when, lambda: self._begin(ended))
+        self._clock.at(when, lambda: self._begin(on_ended))
 
     def set_speed(self, speed: float) -> None:
         """Changes the speed, also for the transfers under way."""
@@ -103,28 +103,28 @@
         self.speed = speed
         self._schedule()
 
-    def _begin(self, ended: Ended) -> None:
+    def _begin(self, on_ended: EndCallback) -> None:
         self._advance()
-        self.started += 1
+        self.transfers_started += 1
         fails = self._rng.random() < self.fail_share
         fails_at = self._rng.random() if fails else 0.0
-        self._transfers.append(_Transfer(1.0, ended, fails_at))
+        self._transfers.append(_Transfer(1.0, on_ended, fails_at))
         self._schedule()
 
     def _advance(self) -> None:
-        passed = self._clock.now - self._seen
-        self._seen = self._clock.now
+        passed = self._clock.now - self._advanced_at
+        self._advanced_at = self._clock.now
         if not self._transfers:
             return
         done = passed * self._rate * self.speed / len(self._transfers)
         for transfer in self._transfers:
-            transfer.left -= done
+            transfer.remaining -= done
 
     def _schedule(self) -> None:
         self._epoch += 1
         if not self._transfers:
             return
-        least = min(each.left - each.fails_at for each in self._transfers)
+        least = min(each.remaining - each.fails_at_remaining for each in self._transfers)
         delay = max(0.0, least) * len(self._transfers) / (self._rate * self.speed)
         epoch = self._epoch
         self._clock.after(delay, lambda: self._finish(epoch))
@@ -133,8 +133,10 @@
         if epoch != self._epoch:
             return
         self._advance()
-        done = [each for each in self._transfers if each.left - each.fails_at <= EPSILON]
+        done = [
+            each for each in self._transfers if each.remaining - each.fails_at_remaining <= EPSILON
+        ]
         self._transfers = [each for each in self._transfers if each not in done]
         self._schedule()
         for transfer in done:
-            transfer.ended(transfer.fails_at == 0.0)
+            transfer.on_ended(transfer.fails_at_remaining == 0.0)
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_workloads.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_workloads.py
@@ -231,21 +231,23 @@
     return workload, deployment
 
 
-def arrivals(workload: Workload, deployment: Deployment, seed: int) -> list[Request]:
+def draw_arrivals(workload: Workload, deployment: Deployment, seed: int) -> list[Request]:
     """Draws all requests of a run, in the order of arrival."""
     rng = random.Random(f"{workload.name}/{seed}")
-    popularity = _popularity(workload, deployment, rng)
-    changes = sorted(_changes(workload, deployment, rng), key=lambda change: change[0])
+    popularity = _initial_popularity(workload, deployment, rng)
+    changes = sorted(_popularity_changes(workload, deployment, rng), key=lambda change: change[0])
     requests: list[Request] = []
     now = 0.0
     while (now := now + rng.expovariate(_rate_at(workload, now))) < workload.seconds:
         while changes and changes[0][0] <= now:
             changes.pop(0)[1](popularity)
-        requests.append(_draw(workload, deployment, popularity, rng, len(requests), now))
+        requests.append(_draw_request(workload, deployment, popularity, rng, len(requests), now))
     return requests
 
 
-def _popularity(workload: Workload, deployment: Deployment, rng: random.Random) -> Popularity:
+def _initial_popularity(
+    workload: Workload, deployment: Deployment, rng: random.Random
+) -> Popularity:
     order = list(range(deployment.adapters))
     rng.shuffle(order)
     weights = (1.0 / rank**workload.skew for rank in range(1, deployment.adapters + 1))
@@ -260,27 +262,27 @@
     return rate
 
 
-_Change = Callable[[Popularity], None]
+_PopularityChange = Callable[[Popularity], None]
 
 
-def _changes(
+def _popularity_changes(
     workload: Workload, deployment: Deployment, rng: random.Random
-) -> Iterator[tuple[float, _Change]]:
+) -> Iterator[tuple[float, _PopularityChange]]:
     for fault in workload.faults:
         if fault.kind == "shift":
-            yield fault.at, _reversal
+            yield fault.at, _reverse_popularity
         if fault.kind == "wake":
             yield from _wake_ups(fault, deployment, rng)
 
 
-def _reversal(popularity: Popularity) -> None:
+def _reverse_popularity(popularity: Popularity) -> None:
     """Lets the least popular adapters be the most popular ones, and the other way round."""
     popularity.order.reverse()
 
 
 def _wake_ups(
     fault: Fault, deployment: Deployment, rng: random.Random
-) -> Iterator[tuple[float, _Change]]:
+) -> Iterator[tuple[float, _PopularityChange]]:
     """Swaps pairs of an active and an idle adapter, spread evenly over the fault's time."""
     pairs = int(deployment.adapters * fault.share / 2)
     half = deployment.adapters // 2
@@ -290,7 +292,7 @@
         yield fault.at + fault.seconds * number / pairs, _swap(first, second)
 
 
-def _swap(first: int, second: int) -> _Change:
+def _swap(first: int, second: int) -> _PopularityChange:
     def swap(popularity: Popularity) -> None:
         order = popularity.order
         order[first], order[second] = order[second], order[first]
@@ -298,7 +300,7 @@
     return swap
 
 
-def _draw(
+def _draw_request(
     workload: Workload,
     deployment: Deployment,
     popularity: Popularity,
@@ -316,13 +318,13 @@
         caller="flood" if flooding else f"caller-{adapter % workload.callers}",
         target=AdapterVersion(SERVICE, f"a{adapter}", VERSION),
         priority=kind.priority,
-        tokens=_tokens(kind, rng),
+        tokens=_draw_tokens(kind, rng),
         patience=kind.deadline,
         prefix=adapter * 4 + rng.randrange(4),
     )
 
 
-def _tokens(kind: RequestClass, rng: random.Random) -> int:
+def _draw_tokens(kind: RequestClass, rng: random.Random) -> int:
     spread = max(1.0, kind.tokens - kind.least_tokens)
     drawn = kind.least_tokens + int(-math.log(1.0 - rng.random()) * spread)
     return min(drawn, 4 * kind.tokens)
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_world.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_world.py
@@ -9,16 +9,16 @@
 
 from wigeonarch_fakes.bench_engine import Engine
 from wigeonarch_fakes.bench_store import Clock, Store
-from wigeonarch_fakes.bench_workloads import Deployment, Fault, Request, Workload, arrivals
+from wigeonarch_fakes.bench_workloads import Deployment, Fault, Request, Workload, draw_arrivals
 
 TAIL_SECONDS: Final = 60.0
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return None
 
 
-def _ignore(request: Request) -> None:
+def _ignore_request(request: Request) -> None:
     return None
 
 
@@ -33,10 +33,10 @@
         parted: Is told that the cut between zones began or ended.
     """
 
-    arrive: Callable[[Request], None]
-    finished: Callable[[Request], None] = _ignore
-    expired: Callable[[Request], None] = _ignore
-    parted: Callable[[], None] = _nothing
+    on_arrival: Callable[[Request], None]
+    on_finished: Callable[[Request], None] = _ignore_request
+    on_expired: Callable[[Request], None] = _ignore_request
+    on_partition_changed: Callable[[], None] = _do_nothing
 
 
 class World:
@@ -56,9 +56,9 @@
     __slots__ = (
         "_policy",
         "clock",
-        "cut_zone",
         "deployment",
         "engines",
+        "isolated_zone",
         "requests",
         "rng",
         "store",
@@ -70,18 +70,18 @@
         self.deployment = deployment
         self.clock = Clock()
         self.store = Store(self.clock, deployment.load_rate, random.Random(f"store/{seed}"))
-        self.requests = arrivals(workload, deployment, seed)
+        self.requests = draw_arrivals(workload, deployment, seed)
         self.rng = random.Random(f"policy/{seed}")
-        self.cut_zone = ""
+        self.isolated_zone = ""
         self.engines: dict[str, Engine] = {}
-        self._policy = Policy(arrive=_ignore)
+        self._policy = Policy(on_arrival=_ignore_request)
         for zone, count in zip(deployment.zones, deployment.engines, strict=True):
             for number in range(count):
                 self._add_engine(f"{zone}-{number}", zone)
 
-    def reaches(self, first: str, second: str) -> bool:
+    def can_reach(self, first: str, second: str) -> bool:
         """Tells whether two zones reach each other."""
-        return first == second or self.cut_zone not in (first, second)
+        return first == second or self.isolated_zone not in (first, second)
 
     def refuse(self, request: Request, reason: str) -> None:
         """Ends a request unanswered."""
@@ -89,7 +89,7 @@
             return
         if request.engine:
             request.cold_at_refusal = request.target not in self.engines[request.engine].copies
-            self.engines[request.engine].wait_no_more(request)
+            self.engines[request.engine].end_wait(request)
         request.refusal = reason
         request.ended = self.clock.now
 
@@ -97,22 +97,22 @@
         """Runs the workload under a policy, and some time more for what is in progress."""
         self._policy = policy
         for request in self.requests:
-            self.clock.at(request.arrival, self._arrival(request))
+            self.clock.at(request.arrival, self._arrival_action(request))
         for fault in self.workload.faults:
-            self._arm(fault)
+            self._schedule_fault(fault)
         patience = max(each.deadline for each in self.workload.classes)
         self.clock.run(self.workload.seconds + patience + TAIL_SECONDS)
 
     def _add_engine(self, name: str, zone: str) -> None:
         engine = Engine(name, zone, self.deployment.engine, self.clock, self.store)
-        engine.on_finished = lambda request: self._policy.finished(request)
-        engine.on_lost = self._lost
+        engine.on_finished = lambda request: self._policy.on_finished(request)
+        engine.on_lost = self._resubmit
         self.engines[name] = engine
 
-    def _arrival(self, request: Request) -> Callable[[], None]:
+    def _arrival_action(self, request: Request) -> Callable[[], None]:
         def arrive() -> None:
             self.clock.at(request.deadline, lambda: self._expire(request))
-            self._policy.arrive(request)
+            self._policy.on_arrival(request)
 
         return arrive
 
@@ -123,16 +123,16 @@
             self.clock.at(request.deadline, lambda: self._expire(request))
             return
         self.refuse(request, "deadline")
-        self._policy.expired(request)
+        self._policy.on_expired(request)
 
-    def _lost(self, request: Request) -> None:
+    def _resubmit(self, request: Request) -> None:
         request.retries += 1
         request.started = -1.0
         request.patience += self.clock.now - request.arrival
         self.clock.at(request.deadline, lambda: self._expire(request))
-        self._policy.arrive(request)
+        self._policy.on_arrival(request)
 
-    def _arm(self, fault: Fault) -> None:
+    def _schedule_fault(self, fault: Fault) -> None:
         begin, end = self._effects(fault)
         self.clock.at(fault.at, begin)
         if fault.seconds:
@@ -140,7 +140,7 @@
 
     def _effects(self, fault: Fault) -> tuple[Callable[[], None], Callable[[], None]]:
         effects: dict[str, tuple[Callable[[], None], Callable[[], None]]] = {
-            "restart": (lambda: self._restart(fault.share), _nothing),
+            "restart": (lambda: self._restart(fault.share), _do_nothing),
             "slow_store": (
                 lambda: self.store.set_speed(fault.share),
                 lambda: self.store.set_speed(1.0),
@@ -149,9 +149,12 @@
                 lambda: self._fail_loads(fault.share),
                 lambda: self._fail_loads(0.0),
             ),
-            "cut": (lambda: self._part(self.deployment.zones[0]), lambda: self._part("")),
+            "cut": (
+                lambda: self._isolate_zone(self.deployment.zones[0]),
+                lambda: self._isolate_zone(""),
+            ),
         }
-        return effects.get(fault.kind, (_nothing, _nothing))
+        return effects.get(fault.kind, (_do_nothing, _do_nothing))
 
     def _restart(self, share: float) -> None:
         engines = list(self.engines.values())
@@ -161,6 +164,6 @@
     def _fail_loads(self, share: float) -> None:
         self.store.fail_share = share
 
-    def _part(self, zone: str) -> None:
-        self.cut_zone = zone
-        self._policy.parted()
+    def _isolate_zone(self, zone: str) -> None:
+        self.isolated_zone = zone
+        self._policy.on_partition_changed()
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/setting_up.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/catalogue_setup.py
@@ -12,7 +12,7 @@
 from wigeonarch_schema import wigeonarch_pb2_grpc as rpc
 
 WAIT_MS: Final = 20_000
-TIMEOUT: Final = 60.0
+RPC_TIMEOUT_S: Final = 60.0
 
 
 def model_service(name: str, *, fencing: Sequence[str] = ()) -> pb.Mutation:
@@ -37,7 +37,9 @@
     ]
 
 
-async def mutate(server: str, mutations: Sequence[pb.Mutation], wait_ms: int = WAIT_MS) -> None:
+async def apply_mutations(
+    server: str, mutations: Sequence[pb.Mutation], wait_ms: int = WAIT_MS
+) -> None:
     """Makes changes one after the other; all but the last need not be in force everywhere.
 
     Raises:
@@ -52,20 +54,20 @@
                 mutation=mutation,
                 wait_ms=wait_ms if last else 1,
             )
-            reply = await stub.Mutate(req, timeout=TIMEOUT)
+            reply = await stub.Mutate(req, timeout=RPC_TIMEOUT_S)
             wanted = (pb.STATUS_ACCEPTED,) if last else (pb.STATUS_ACCEPTED, pb.STATUS_PENDING)
             if reply.status not in wanted:
                 raise RuntimeError(f"change {number}: {reply}")
 
 
-def run_mutations(server: str, mutations: Sequence[pb.Mutation]) -> None:
+def apply_mutations_blocking(server: str, mutations: Sequence[pb.Mutation]) -> None:
     """Makes changes and waits until they are in force everywhere."""
-    asyncio.run(mutate(server, mutations))
+    asyncio.run(apply_mutations(server, mutations))
 
 
-def set_up(server: str, service: str, adapters: int) -> None:
+def create_model_service(server: str, service: str, adapters: int) -> None:
     """Creates a model service and its adapters `a0`, `a1` and so on."""
     mutations = [model_service(service)]
     for number in range(adapters):
         mutations += adapter_with_rule(service, f"a{number}")
-    run_mutations(server, mutations)
+    apply_mutations_blocking(server, mutations)
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/demo.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/demo.py
@@ -19,13 +19,13 @@
 from wigeonarch_runtime import logs
 
 from wigeonarch_fakes.demo_fleet import PLAIN_SERVICE, DemoFleet, Plan, demo_fleet
-from wigeonarch_fakes.demo_steps import MODEL, STEPS, Result, Step, Tour, make_tour
+from wigeonarch_fakes.demo_steps import MODEL, STEPS, Result, Step, StepContext, make_context
 
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
-STEP_BOUND: Final = 25.0
+STEP_TIMEOUT_S: Final = 25.0
 
-TRY_IT: Final = """
+EXAMPLE_COMMANDS: Final = """
 The deployment is running; Ctrl-C ends it. In another terminal:
 
   curl -s {http}/v1/models
@@ -71,16 +71,16 @@
     first = next(iter(fleet.nodes))
     async with (
         aiohttp.ClientSession() as http,
-        grpc.aio.insecure_channel(fleet.rpc(first)) as channel,
+        grpc.aio.insecure_channel(fleet.rpc_address(first)) as channel,
     ):
-        tour = make_tour(fleet, http, channel, _show)
+        tour = make_context(fleet, http, channel, _show)
         return [await _run_step(tour, step) for step in STEPS]
 
 
-async def _run_step(tour: Tour, step: Step) -> Result:
+async def _run_step(tour: StepContext, step: Step) -> Result:
     _show(f"\n{step.title}\n")
     try:
-        result = await asyncio.wait_for(step.run(tour), STEP_BOUND)
+        result = await asyncio.wait_for(step.run(tour), STEP_TIMEOUT_S)
     except (TimeoutError, OSError, aiohttp.ClientError, grpc.aio.AioRpcError) as exc:
         result = Result(False, repr(exc))
     _show(f"  {'ok' if result.ok else 'FAILED'}: {result.detail}\n")
@@ -94,8 +94,11 @@
         loop.add_signal_handler(number, stopped.set)
     first = next(iter(fleet.nodes))
     _show(
-        TRY_IT.format(
-            http=fleet.http(first), rpc=fleet.rpc(first), model=MODEL, plain=PLAIN_SERVICE
+        EXAMPLE_COMMANDS.format(
+            http=fleet.http_url(first),
+            rpc=fleet.rpc_address(first),
+            model=MODEL,
+            plain=PLAIN_SERVICE,
         )
     )
     await stopped.wait()
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/demo_fleet.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/demo_fleet.py
@@ -28,8 +28,8 @@
 
 MODEL_SERVICE: Final = "drafting"
 PLAIN_SERVICE: Final = "orders"
-BOUND: Final = 30.0
-POLL: Final = 0.02
+TIMEOUT_S: Final = 30.0
+POLL_INTERVAL_S: Final = 0.02
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,11 +71,11 @@
     services: dict[str, RunningService] = field(default_factory=dict)
     nodes: dict[str, Node] = field(default_factory=dict)
 
-    def http(self, name: str) -> str:
+    def http_url(self, name: str) -> str:
         """Returns the URL of an entry instance's HTTP door."""
         return f"http://{self.nodes[name].opts.http}"
 
-    def rpc(self, name: str) -> str:
+    def rpc_address(self, name: str) -> str:
         """Returns the address of an entry instance's RPC door."""
         return self.nodes[name].opts.rpc
 
@@ -98,15 +98,17 @@
         yield fleet
 
 
-async def wait_for(holds: Callable[[], bool], bound: float = BOUND) -> None:
+async def wait_for(condition: Callable[[], bool], timeout_s: float = TIMEOUT_S) -> None:
     """Waits until a condition holds.
 
     Raises:
         TimeoutError: It did not hold within `bound` seconds.
     """
-    async with asyncio.timeout(bound):
-        while not holds():  # noqa: ASYNC110 - the state of another task has no event to wait for
-            await asyncio.sleep(POLL)
+    async with asyncio.timeout(timeout_s):
+        while (
+            not condition()
+        ):
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def free_address() -> str:
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/demo_steps.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/demo_steps.py
@@ -14,16 +14,16 @@
 from wigeonarch_schema import wigeonarch_pb2 as pb
 from wigeonarch_schema import wigeonarch_pb2_grpc as rpc
 
-from wigeonarch_fakes.demo_fleet import MODEL_SERVICE, PLAIN_SERVICE, POLL, DemoFleet
+from wigeonarch_fakes.demo_fleet import MODEL_SERVICE, PLAIN_SERVICE, POLL_INTERVAL_S, DemoFleet
 
 ADAPTER: Final = "curry-blend"
-OTHER: Final = "chai-blend"
+OTHER_ADAPTER: Final = "chai-blend"
 MODEL: Final = f"{MODEL_SERVICE}/{ADAPTER}"
 PROMPT: Final = "Write the batch sheet for 40 kg of Madras blend."
-TOKENS: Final = 12
-KEY: Final = "despatch-4711"
+MAX_TOKENS: Final = 12
+IDEMPOTENCY_KEY: Final = "despatch-4711"
 WAIT_MS: Final = 10_000
-OWNERS_BOUND: Final = 20.0
+OWNERS_TIMEOUT_S: Final = 20.0
 EVENT_PREFIX: Final = b"data: "
 LAST_EVENT: Final = b"data: [DONE]"
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Tour:
+class StepContext:
     """What the steps share.
 
     Attributes:
@@ -72,17 +72,17 @@
     """One step: what it is, and what does it."""
 
     title: str
-    run: Callable[[Tour], Awaitable[Result]]
+    run: Callable[[StepContext], Awaitable[Result]]
 
 
-def make_tour(
+def make_context(
     fleet: DemoFleet,
     http: aiohttp.ClientSession,
     channel: grpc.aio.Channel,
     show: Callable[[str], None],
-) -> Tour:
+) -> StepContext:
     """Returns a tour whose remote calls go to the instance behind `channel`."""
-    return Tour(
+    return StepContext(
         fleet=fleet,
         http=http,
         catalogue=rpc.CatalogueStub(channel),
@@ -92,20 +92,20 @@
     )
 
 
-async def see_owners(tour: Tour) -> Result:
+async def wait_for_owners(tour: StepContext) -> Result:
     """Waits until each engine has an owner that may give it orders."""
-    async with asyncio.timeout(OWNERS_BOUND):
+    async with asyncio.timeout(OWNERS_TIMEOUT_S):
         while True:
             reply = await tour.status.Status(pb.StatusRequest())
             owners = {engine.name: engine.owner for engine in reply.engines}
             if len(owners) == len(tour.fleet.engines) and all(owners.values()):
                 break
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_INTERVAL_S)
     detail = ", ".join(f"{engine} by {owner}" for engine, owner in owners.items())
     return Result(True, detail)
 
 
-async def configure(tour: Tour) -> Result:
+async def configure(tour: StepContext) -> Result:
     """Creates services, adapters with two versions each, and a rule for each adapter."""
     names = sorted(name for name in tour.fleet.engines if _checks_fence(tour, name))
     model = pb.Service(
@@ -116,7 +116,7 @@
     )
     plain = pb.Service(name=PLAIN_SERVICE, kind=pb.SERVICE_KIND_PLAIN)
     mutations = [pb.Mutation(put_service=pb.PutService(service=s)) for s in (model, plain)]
-    for adapter in (ADAPTER, OTHER):
+    for adapter in (ADAPTER, OTHER_ADAPTER):
         mutations.extend(_adapter_mutations(adapter))
     for mutation in mutations:
         reply = await _mutate(tour, mutation)
@@ -125,7 +125,7 @@
     return Result(True, f"{len(mutations)} changes accepted: in force in every zone")
 
 
-async def complete(tour: Tour) -> Result:
+async def complete(tour: StepContext) -> Result:
     """Asks each entry instance for a completion, through the HTTP door."""
     for name in tour.entries:
         status, doc = await _post(tour, name, "/v1/completions", _completion(MODEL))
@@ -134,17 +134,20 @@
     return Result(True, f"{len(tour.entries)} entry instances answered from {ADAPTER}@v1")
 
 
-async def submit(tour: Tour) -> Result:
+async def submit(tour: StepContext) -> Result:
     """Submits one request by remote call, naming its version."""
-    generate = pb.Generate(prompt=PROMPT, max_tokens=TOKENS)
-    model = f"{MODEL_SERVICE}/{OTHER}@v2"
+    generate = pb.Generate(prompt=PROMPT, max_tokens=MAX_TOKENS)
+    model = f"{MODEL_SERVICE}/{OTHER_ADAPTER}@v2"
     reply = await tour.requests.Submit(pb.SubmitRequest(model=model, generate=generate))
     tour.last_request = reply.request_id
-    ok = reply.outcome == pb.OUTCOME_ANSWERED and (reply.adapter, reply.version) == (OTHER, "v2")
+    ok = reply.outcome == pb.OUTCOME_ANSWERED and (reply.adapter, reply.version) == (
+        OTHER_ADAPTER,
+        "v2",
+    )
     return Result(ok, f"{pb.Outcome.Name(reply.outcome)} from {reply.adapter}@{reply.version}")
 
 
-async def explain(tour: Tour) -> Result:
+async def explain(tour: StepContext) -> Result:
     """Asks why the last request went where it went."""
     reply = await tour.requests.Explain(pb.ExplainRequest(request_id=tour.last_request))
     for one in reply.decisions:
@@ -152,7 +155,7 @@
     return Result(bool(reply.decisions), f"{len(reply.decisions)} decisions")
 
 
-async def stream(tour: Tour) -> Result:
+async def stream(tour: StepContext) -> Result:
     """Streams an answer to the terminal."""
     body = _completion(MODEL) | {"stream": True}
     texts: list[str] = []
@@ -167,19 +170,21 @@
     return Result(whole == _expected("v1"), f"{len(texts)} events, one whole answer")
 
 
-async def call_once(tour: Tour) -> Result:
+async def repeat_keyed_call(tour: StepContext) -> Result:
     """Makes one non-idempotent call twice, with one key, at two instances."""
     answers = []
     for name in tour.entries[:2]:
         path = f"/v1/services/{PLAIN_SERVICE}/confirm"
-        answers.append(await _post(tour, name, path, {"order": 4711}, {"Idempotency-Key": KEY}))
+        answers.append(
+            await _post(tour, name, path, {"order": 4711}, {"Idempotency-Key": IDEMPOTENCY_KEY})
+        )
     services = tour.fleet.services.values()
-    runs = sum(each.service.record()["runs_by_key"].get(KEY, 0) for each in services)
+    runs = sum(each.service.record()["runs_by_key"].get(IDEMPOTENCY_KEY, 0) for each in services)
     same = [status for status, _ in answers] == [200, 200] and answers[0] == answers[1]
     return Result(same and runs == 1, f"called twice, the endpoints' records show {runs} run")
 
 
-async def move_rule(tour: Tour) -> Result:
+async def move_rule(tour: StepContext) -> Result:
     """Moves the rule to version 2; the next answer must come from it, at every instance."""
     reply = await _mutate(tour, _rule(ADAPTER, "v2"), tour.versions[MODEL])
     if reply.status != pb.STATUS_ACCEPTED:
@@ -191,7 +196,7 @@
     return Result(True, f"accepted as change {reply.change}; next answers from {ADAPTER}@v2")
 
 
-async def check_records(tour: Tour) -> Result:
+async def check_records(tour: StepContext) -> Result:
     """Reads what the engines really did: nothing in use may have been evicted."""
     records = [running.engine.record for running in tour.fleet.engines.values()]
     evicted = sum(len(record.evicted_in_use) for record in records)
@@ -200,19 +205,19 @@
 
 
 STEPS: Final = (
-    Step("each engine has an owner", see_owners),
+    Step("each engine has an owner", wait_for_owners),
     Step("create services, adapters, versions and rules (RPC)", configure),
     Step("complete at each entry instance (HTTP)", complete),
     Step("submit a request that names its version (RPC)", submit),
     Step("explain that request (RPC)", explain),
     Step("stream an answer (HTTP)", stream),
-    Step("repeat a call that may run only once (HTTP)", call_once),
+    Step("repeat a call that may run only once (HTTP)", repeat_keyed_call),
     Step("move the rule to version 2 (RPC, HTTP)", move_rule),
     Step("read the engines' records", check_records),
 )
 
 
-def _checks_fence(tour: Tour, engine: str) -> bool:
+def _checks_fence(tour: StepContext, engine: str) -> bool:
     return tour.fleet.engines[engine].engine.settings.checks_fence
 
 
@@ -236,7 +241,7 @@
     return pb.Mutation(put_rule=pb.PutRule(rule=rule))
 
 
-async def _mutate(tour: Tour, mutation: pb.Mutation, expected: int = 0) -> pb.MutateReply:
+async def _mutate(tour: StepContext, mutation: pb.Mutation, expected: int = 0) -> pb.MutateReply:
     mutation.expected_version = expected
     request = pb.MutateRequest(operation_id=uuid.uuid4().hex, mutation=mutation, wait_ms=WAIT_MS)
     reply: pb.MutateReply = await tour.catalogue.Mutate(request)
@@ -247,25 +252,25 @@
 
 
 def _completion(model: str) -> dict[str, Any]:
-    return {"model": model, "prompt": PROMPT, "max_tokens": TOKENS}
+    return {"model": model, "prompt": PROMPT, "max_tokens": MAX_TOKENS}
 
 
 def _expected(version: str) -> str:
     """Returns what the stand-in of an engine answers."""
-    return "".join(f"{ADAPTER}@{version}#{i} " for i in range(TOKENS))
+    return "".join(f"{ADAPTER}@{version}#{i} " for i in range(MAX_TOKENS))
 
 
 async def _post(
-    tour: Tour, entry: str, path: str, body: Any, headers: dict[str, str] | None = None
+    tour: StepContext, entry: str, path: str, body: Any, headers: dict[str, str] | None = None
 ) -> tuple[int, Any]:
-    url = tour.fleet.http(entry) + path
+    url = tour.fleet.http_url(entry) + path
     async with tour.http.post(url, json=body, headers=headers) as resp:
         return resp.status, await resp.json()
 
 
-async def _events(tour: Tour, path: str, body: Any) -> AsyncIterator[Any]:
+async def _events(tour: StepContext, path: str, body: Any) -> AsyncIterator[Any]:
     """Yields the documents of a stream of server-sent events."""
-    url = tour.fleet.http(tour.entries[0]) + path
+    url = tour.fleet.http_url(tour.entries[0]) + path
     async with tour.http.post(url, json=body) as resp:
         if resp.status != 200:
             yield await resp.json()
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine.py
@@ -40,14 +40,14 @@
 from wigeonarch_fakes.engine_model import Engine, Sequence
 from wigeonarch_fakes.engine_streams import Stream
 
-FREEZE_POLL_S: Final = 0.02
+FREEZE_POLL_INTERVAL_S: Final = 0.02
 
 
 async def _drop(request: web.Request) -> web.Response:
     return serving.drop_connection(request)
 
 
-DROPS: Final[dict[str, Callable[[web.Request], Awaitable[web.Response]]]] = {
+CONNECTION_FAULTS: Final[dict[str, Callable[[web.Request], Awaitable[web.Response]]]] = {
     "close_before": _drop,
     "swallow_before": serving.never_answer,
     "close_after": _drop,
@@ -64,7 +64,7 @@
     def app(self) -> web.Application:
         """Return the application with all routes."""
         app = web.Application(
-            middlewares=[serving.refuse_malformed, self._admit],
+            middlewares=[serving.refuse_malformed, self._apply_request_faults],
             client_max_size=serving.MAX_BODY_BYTES,
         )
         app.add_routes(
@@ -74,7 +74,7 @@
                 web.delete("/v1/generate/{dispatch}", self._cancel),
                 web.post("/v1/adapters/load", self._load),
                 web.post("/v1/adapters/evict", self._evict),
-                web.post("/v1/{order:model|role}", self._set),
+                web.post("/v1/{order:model|role}", self._set_model_or_role),
                 web.get("/v1/report", self._report),
                 web.get("/v1/cache-events", self._cache_events),
                 web.post("/_control/faults", self._set_faults),
@@ -86,32 +86,34 @@
         return app
 
     @web.middleware
-    async def _admit(self, request: web.Request, handler: serving.Handler) -> web.StreamResponse:
+    async def _apply_request_faults(
+        self, request: web.Request, handler: serving.Handler
+    ) -> web.StreamResponse:
         if serving.is_control(request):
             return await handler(request)
         if self._engine.faults.delay_ms:
             await asyncio.sleep(self._engine.faults.delay_ms / 1000)
-        await self._thaw()
+        await self._wait_while_frozen()
         response = await handler(request)
-        await self._thaw()
+        await self._wait_while_frozen()
         return response
 
-    async def _thaw(self) -> None:
+    async def _wait_while_frozen(self) -> None:
         while self._engine.faults.freeze:  # noqa: ASYNC110 - the faults are a plain document
-            await asyncio.sleep(FREEZE_POLL_S)
+            await asyncio.sleep(FREEZE_POLL_INTERVAL_S)
 
     async def _generate(self, request: web.Request) -> web.StreamResponse:
         body = msgspec.json.decode(await request.read(), type=Generate)
         before = self._engine.take_fault("close_before", "swallow_before")
         if before:
-            return await DROPS[before](request)
+            return await CONNECTION_FAULTS[before](request)
         refusal = self._engine.refusal(body)
         if refusal is not None:
             return serving.error_response(*refusal)
         sequence = self._engine.admit(body)
         after = self._engine.take_fault("close_after", "swallow_after")
         if after:
-            return await DROPS[after](request)
+            return await CONNECTION_FAULTS[after](request)
         return await self._stream(request, sequence, 0)
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
@@ -125,7 +127,7 @@
     ) -> web.StreamResponse:
         try:
             response = await serving.open_stream(request, "application/x-ndjson")
-            stream = Stream(request, response, self._engine.faults, self._thaw)
+            stream = Stream(request, response, self._engine.faults, self._wait_while_frozen)
             if await stream.send(sequence, first):
                 await response.write_eof()
                 return response
@@ -140,12 +142,12 @@
         self._engine.finish(sequence, "cancelled")
         return serving.json_response({})
 
-    async def _order(self, request: web.Request, name: str) -> Order | None:
+    async def _read_order(self, request: web.Request, name: str) -> Order | None:
         order = msgspec.json.decode(await request.read(), type=Order)
         return order if self._engine.accept_order(name, order) else None
 
     async def _load(self, request: web.Request) -> web.Response:
-        order = await self._order(request, "load")
+        order = await self._read_order(request, "load")
         if order is None:
             return serving.error_response(409, "fenced")
         outcome = await self._engine.slots.load(order.adapter, order.version)
@@ -154,15 +156,15 @@
         return serving.error_response({"no_slot": 507, "load_failed": 502}[outcome], outcome)
 
     async def _evict(self, request: web.Request) -> web.Response:
-        order = await self._order(request, "evict")
+        order = await self._read_order(request, "evict")
         if order is None:
             return serving.error_response(409, "fenced")
         if not self._engine.evict(order):
             return serving.error_response(404, "not_loaded")
         return serving.json_response({})
 
-    async def _set(self, request: web.Request) -> web.Response:
-        if await self._order(request, request.match_info["order"]) is None:
+    async def _set_model_or_role(self, request: web.Request) -> web.Response:
+        if await self._read_order(request, request.match_info["order"]) is None:
             return serving.error_response(409, "fenced")
         return serving.json_response({})
 
@@ -199,7 +201,7 @@
     document["mean_batch_fill"] = record.batch_places / places if places else 0.0
     document["incarnation"] = engine.incarnation
     document["highest_fence"] = engine.highest_fence
-    document["cached_prefixes"] = engine.cache.held()
+    document["cached_prefixes"] = engine.cache.prefixes()
     return document
 
 
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine_cache.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine_cache.py
@@ -11,8 +11,8 @@
 from wigeonarch_fakes.engine_documents import CacheEvent
 
 PREFIX_CHARS: Final = 256
-GAP_EVERY: Final = 5
-EVENTS_KEPT: Final = 10_000
+EVENTS_PER_GAP: Final = 5
+MAX_EVENTS: Final = 10_000
 
 
 def prefix_digest(prompt: str) -> int:
@@ -28,7 +28,7 @@
         self._lag_s = lag_s
         self._held: OrderedDict[int, None] = OrderedDict()
         self._seq = 0
-        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=MAX_EVENTS)
 
     def touch(self, prefix: int) -> bool:
         """Use a prefix, storing it if needed; say whether it was held."""
@@ -38,9 +38,9 @@
         if self._entries <= 0:
             return False
         if len(self._held) >= self._entries:
-            self._note("dropped", self._held.popitem(last=False)[0])
+            self._add_event("dropped", self._held.popitem(last=False)[0])
         self._held[prefix] = None
-        self._note("stored", prefix)
+        self._add_event("stored", prefix)
         return False
 
     def events(self, after: int) -> list[CacheEvent]:
@@ -48,11 +48,11 @@
         until = time.monotonic() - self._lag_s
         return [event for at, event in self._events if at <= until and event.seq > after]
 
-    def held(self) -> list[int]:
+    def prefixes(self) -> list[int]:
         """Return the prefixes held."""
         return list(self._held)
 
-    def _note(self, kind: str, prefix: int) -> None:
+    def _add_event(self, kind: str, prefix: int) -> None:
         self._seq += 1
-        if self._seq % GAP_EVERY:
+        if self._seq % EVENTS_PER_GAP:
             self._events.append((time.monotonic(), CacheEvent(self._seq, kind, prefix)))
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine_model.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine_model.py
@@ -27,17 +27,17 @@
 )
 from wigeonarch_fakes.engine_slots import Slots
 
-KEEP_S: Final = 30.0
-KEEP_SWEEP_S: Final = 1.0
-SAMPLE_S: Final = 0.05
-SAMPLES: Final = 2000
-FILL_STEPS: Final = 64
+FINISHED_RETENTION_S: Final = 30.0
+SWEEP_INTERVAL_S: Final = 1.0
+SAMPLE_INTERVAL_S: Final = 0.05
+MAX_SAMPLES: Final = 2000
+FILL_WINDOW_STEPS: Final = 64
 
 
 class Sequence:
     """One request to generate, with the chunks it has made."""
 
-    __slots__ = ("arrival", "chunks", "deadline", "ended", "grown", "lost", "request")
+    __slots__ = ("arrival", "chunk_added", "chunks", "deadline", "ended_at", "lost", "request")
 
     def __init__(self, request: Generate, arrival: int) -> None:
         now = time.monotonic()
@@ -45,14 +45,14 @@
         self.arrival = arrival
         self.deadline = now + request.deadline_ms / 1000 if request.deadline_ms > 0 else None
         self.chunks: list[Chunk] = []
-        self.ended: float | None = None
+        self.ended_at: float | None = None
         self.lost = False
-        self.grown = asyncio.Event()
+        self.chunk_added = asyncio.Event()
 
     def wake(self) -> None:
         """Wake the streams that wait for chunks."""
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.chunk_added.set()
+        self.chunk_added = asyncio.Event()
 
 
 class Engine:
@@ -70,17 +70,17 @@
         self._started = time.monotonic()
         self.slots = Slots(settings, lambda: self.faults, self.record.loads, self.now_ms)
         self._arrivals = 0
-        self._work = asyncio.Event()
-        self._samples: deque[tuple[float, Report]] = deque(maxlen=SAMPLES)
+        self._work_added = asyncio.Event()
+        self._samples: deque[tuple[float, Report]] = deque(maxlen=MAX_SAMPLES)
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._begin_incarnation()
+        self._start_incarnation()
 
     def start(self) -> None:
         """Start the step loop and the other tasks."""
-        self.keep(asyncio.create_task(self._step_forever()))
-        self.keep(asyncio.create_task(self._sweep_forever()))
+        self.track_task(asyncio.create_task(self._step_forever()))
+        self.track_task(asyncio.create_task(self._sweep_forever()))
         if self.settings.report_lag_ms > 0:
-            self.keep(asyncio.create_task(self._sample_forever()))
+            self.track_task(asyncio.create_task(self._sample_forever()))
 
     async def stop(self) -> None:
         """End all tasks."""
@@ -89,7 +89,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def keep(self, task: asyncio.Task[Any]) -> None:
+    def track_task(self, task: asyncio.Task[Any]) -> None:
         """Hold a task until it ends."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -110,8 +110,8 @@
     def restart(self) -> None:
         """Lose all slots, sequences and the cache, and take a new incarnation."""
         for sequence in self.sequences.values():
-            if sequence.ended is None:
-                self._note_finish(sequence, "lost")
+            if sequence.ended_at is None:
+                self._record_finish(sequence, "lost")
             sequence.lost = True
             sequence.wake()
         self.slots.clear()
@@ -119,14 +119,14 @@
         self.running.clear()
         self.waiting.clear()
         self.record.restarts += 1
-        self._begin_incarnation()
+        self._start_incarnation()
 
-    def _begin_incarnation(self) -> None:
+    def _start_incarnation(self) -> None:
         self.incarnation = uuid.uuid4().hex[:12]
         self.step = 0
         self.leaving = False
         self.cache = PrefixCache(self.settings.prefix_entries, self.settings.event_lag_ms / 1000)
-        self._fill: deque[float] = deque(maxlen=FILL_STEPS)
+        self._recent_fills: deque[float] = deque(maxlen=FILL_WINDOW_STEPS)
         self._samples.clear()
 
     # Orders
@@ -144,7 +144,7 @@
     def evict(self, order: Order) -> bool:
         """Evict an adapter, also one in use; say whether it was there."""
         key = (order.adapter, order.version)
-        if self.slots.take(order.adapter, order.version) is None:
+        if self.slots.free(order.adapter, order.version) is None:
             return False
         running = [seq for seq in self.running if _key(seq) == key]
         waiting = [seq for seq in self.waiting if _key(seq) == key]
@@ -182,23 +182,23 @@
         sequence = Sequence(request, self._arrivals)
         self.sequences[request.dispatch] = sequence
         self.waiting.append(sequence)
-        self._work.set()
+        self._work_added.set()
         return sequence
 
     def finish(self, sequence: Sequence, finish: str) -> None:
         """End a sequence before its last token with an empty final chunk."""
-        if sequence.ended is not None:
+        if sequence.ended_at is not None:
             return
-        self._leave_queues(sequence)
-        self._append(sequence, "", 0, finish)
-        self._end(sequence, finish)
+        self._remove_from_queues(sequence)
+        self._append_chunk(sequence, "", 0, finish)
+        self._mark_ended(sequence, finish)
 
-    def _leave_queues(self, sequence: Sequence) -> None:
+    def _remove_from_queues(self, sequence: Sequence) -> None:
         for queue in (self.running, self.waiting):
             if sequence in queue:
                 queue.remove(sequence)
 
-    def _append(self, sequence: Sequence, text: str, tokens: int, finish: str) -> None:
+    def _append_chunk(self, sequence: Sequence, text: str, tokens: int, finish: str) -> None:
         request = sequence.request
         version = self.faults.echo_version or request.version
         chunk = Chunk(
@@ -214,18 +214,18 @@
         sequence.chunks.append(chunk)
         sequence.wake()
 
-    def _end(self, sequence: Sequence, finish: str) -> None:
-        sequence.ended = time.monotonic()
-        self._note_finish(sequence, finish)
+    def _mark_ended(self, sequence: Sequence, finish: str) -> None:
+        sequence.ended_at = time.monotonic()
+        self._record_finish(sequence, finish)
 
-    def _note_finish(self, sequence: Sequence, finish: str) -> None:
+    def _record_finish(self, sequence: Sequence, finish: str) -> None:
         record = self.record.dispatches.get(sequence.request.dispatch)
         if record is not None:
             record.finish = finish
             record.finished_ms = self.now_ms()
             record.tokens = sum(chunk.tokens for chunk in sequence.chunks)
 
-    def _begin(self, sequence: Sequence) -> bool:
+    def _start_sequence(self, sequence: Sequence) -> bool:
         """Take a sequence into the batch; say whether its prefix was in the cache."""
         request = sequence.request
         record = self.record.dispatches.setdefault(
@@ -243,17 +243,17 @@
 
     async def _step_forever(self) -> None:
         while True:
-            self._drop_late()
+            self._cancel_expired()
             misses = self._fill_batch()
             if not self.running:
-                self._work.clear()
-                await self._work.wait()
+                self._work_added.clear()
+                await self._work_added.wait()
                 continue
             batch = list(self.running)
-            await asyncio.sleep(self._step_s(batch, misses))
-            self._emit(batch)
+            await asyncio.sleep(self._step_duration_s(batch, misses))
+            self._emit_tokens(batch)
 
-    def _drop_late(self) -> None:
+    def _cancel_expired(self) -> None:
         now = time.monotonic()
         for sequence in (*self.running, *self.waiting):
             if sequence.deadline is not None and sequence.deadline <= now:
@@ -263,41 +263,41 @@
         self.waiting.sort(key=lambda sequence: (-sequence.request.priority, sequence.arrival))
         misses = 0
         while self.waiting and len(self.running) < self.settings.max_batch:
-            misses += not self._begin(self.waiting.pop(0))
+            misses += not self._start_sequence(self.waiting.pop(0))
         return misses
 
-    def _step_s(self, batch: list[Sequence], misses: int) -> float:
+    def _step_duration_s(self, batch: list[Sequence], misses: int) -> float:
         settings = self.settings
         adapters = len({_key(sequence) for sequence in batch})
         step_ms = settings.base_ms + settings.per_sequence_ms * len(batch)
         step_ms += settings.per_adapter_ms * adapters + settings.prefill_ms * misses
         return step_ms / 1000
 
-    def _emit(self, batch: list[Sequence]) -> None:
+    def _emit_tokens(self, batch: list[Sequence]) -> None:
         self.step += 1
         self.record.steps += 1
         self.record.batch_places += len(batch)
         self.record.max_batch_seen = max(self.record.max_batch_seen, len(batch))
-        self._fill.append(len(batch) / self.settings.max_batch)
+        self._recent_fills.append(len(batch) / self.settings.max_batch)
         for sequence in batch:
-            if sequence.ended is None and not sequence.lost:
+            if sequence.ended_at is None and not sequence.lost:
                 self._emit_token(sequence)
 
     def _emit_token(self, sequence: Sequence) -> None:
         request = sequence.request
         index = len(sequence.chunks)
         finish = "length" if index + 1 >= request.max_tokens else ""
-        self._append(sequence, f"{request.adapter}@{request.version}#{index} ", 1, finish)
+        self._append_chunk(sequence, f"{request.adapter}@{request.version}#{index} ", 1, finish)
         if finish:
-            self._leave_queues(sequence)
-            self._end(sequence, finish)
+            self._remove_from_queues(sequence)
+            self._mark_ended(sequence, finish)
 
     async def _sweep_forever(self) -> None:
         while True:
-            await asyncio.sleep(KEEP_SWEEP_S)
-            until = time.monotonic() - KEEP_S
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            until = time.monotonic() - FINISHED_RETENTION_S
             for dispatch, sequence in list(self.sequences.items()):
-                if sequence.ended is not None and sequence.ended < until:
+                if sequence.ended_at is not None and sequence.ended_at < until:
                     del self.sequences[dispatch]
 
     # Reports
@@ -305,7 +305,7 @@
     def report(self) -> Report:
         """Return the report that a caller gets now: the present one, or a lagging one."""
         if not self._samples:
-            return self._report_now()
+            return self._current_report()
         now = time.monotonic()
         until = now - self.settings.report_lag_ms / 1000
         at, found = self._samples[0]
@@ -315,7 +315,7 @@
                 break
         return msgspec.structs.replace(found, age_ms=round((now - at) * 1000, 3))
 
-    def _report_now(self) -> Report:
+    def _current_report(self) -> Report:
         running = Counter(_key(sequence) for sequence in self.running)
         loaded = [
             LoadedAdapter(
@@ -324,9 +324,9 @@
                 running[key],
                 "loaded" if slot.loading is None else "loading",
             )
-            for key, slot in self.slots.held.items()
+            for key, slot in self.slots.occupied.items()
         ]
-        fill = sum(self._fill) / len(self._fill) if self._fill else 0.0
+        fill = sum(self._recent_fills) / len(self._recent_fills) if self._recent_fills else 0.0
         return Report(
             self.incarnation,
             0,
@@ -341,13 +341,13 @@
         )
 
     async def _sample_forever(self) -> None:
-        keep_s = self.settings.report_lag_ms / 1000 + 2 * SAMPLE_S
+        keep_s = self.settings.report_lag_ms / 1000 + 2 * SAMPLE_INTERVAL_S
         while True:
             now = time.monotonic()
-            self._samples.append((now, self._report_now()))
+            self._samples.append((now, self._current_report()))
             while self._samples[0][0] < now - keep_s:
                 self._samples.popleft()
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
 def _key(sequence: Sequence) -> tuple[str, str]:
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine_slots.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine_slots.py
@@ -10,7 +10,7 @@
 
 from wigeonarch_fakes.engine_documents import Faults, LoadRecord, Settings
 
-LOAD_CHUNK: Final = 64 * 1024
+READ_CHUNK_BYTES: Final = 64 * 1024
 
 
 class Slot:
@@ -34,7 +34,7 @@
         loads: list[LoadRecord],
         now_ms: Callable[[], float],
     ) -> None:
-        self.held: dict[tuple[str, str], Slot] = {}
+        self.occupied: dict[tuple[str, str], Slot] = {}
         self._settings = settings
         self._faults = faults
         self._loads = loads
@@ -43,25 +43,25 @@
 
     def clear(self) -> None:
         """Lose all slots; loads in progress are dropped."""
-        for slot in self.held.values():
+        for slot in self.occupied.values():
             if slot.loading is not None:
                 slot.loading.cancel()
-        self.held.clear()
+        self.occupied.clear()
 
-    def take(self, adapter: str, version: str) -> Slot | None:
+    def free(self, adapter: str, version: str) -> Slot | None:
         """Empty a slot, if it is taken; a load in progress is dropped."""
-        slot = self.held.pop((adapter, version), None)
+        slot = self.occupied.pop((adapter, version), None)
         if slot is not None and slot.loading is not None:
             slot.loading.cancel()
         return slot
 
     async def load(self, adapter: str, version: str) -> str:
         """Load an adapter; return ``loaded``, ``no_slot`` or ``load_failed``."""
-        slot = self.held.get((adapter, version))
+        slot = self.occupied.get((adapter, version))
         if slot is None:
-            if len(self.held) >= self._settings.slots:
+            if len(self.occupied) >= self._settings.slots:
                 return "no_slot"
-            slot = self.held[adapter, version] = Slot(adapter, version)
+            slot = self.occupied[adapter, version] = Slot(adapter, version)
             slot.loading = asyncio.create_task(self._load(slot))
             self._tasks.add(slot.loading)
             slot.loading.add_done_callback(self._tasks.discard)
@@ -75,28 +75,28 @@
         begun = self._now_ms()
         outcome = "dropped"
         try:
-            is_loaded = await self._fetch(slot)
+            is_loaded = await self._load_weights(slot)
             outcome = "loaded" if is_loaded else "failed"
         finally:
             took = self._now_ms() - begun
             self._loads.append(LoadRecord(slot.adapter, slot.version, begun, took, outcome))
             if outcome == "failed":
-                self.held.pop((slot.adapter, slot.version), None)
+                self.occupied.pop((slot.adapter, slot.version), None)
         if is_loaded:
             slot.loading = None
         return "loaded" if is_loaded else "load_failed"
 
-    async def _fetch(self, slot: Slot) -> bool:
+    async def _load_weights(self, slot: Slot) -> bool:
         faults = self._faults()
         is_failing = faults.fail_loads > 0
         if is_failing:
             faults.fail_loads -= 1
         if self._settings.weight_store:
-            return await self._transfer(slot, is_failing)
+            return await self._download(slot, is_failing)
         await asyncio.sleep(self._settings.load_ms / 1000 / (2 if is_failing else 1))
         return not is_failing
 
-    async def _transfer(self, slot: Slot, is_failing: bool) -> bool:
+    async def _download(self, slot: Slot, is_failing: bool) -> bool:
         size = self._settings.weight_bytes
         path = f"/v1/weights/{slot.adapter}/{slot.version}?bytes={size}"
         url = f"http://{self._settings.weight_store}{path}"
@@ -106,7 +106,7 @@
             async with aiohttp.ClientSession() as session, session.get(url) as answer:
                 if answer.status != 200:
                     return False
-                async for data in answer.content.iter_chunked(LOAD_CHUNK):
+                async for data in answer.content.iter_chunked(READ_CHUNK_BYTES):
                     got += len(data)
                     if got >= wanted:
                         break
@@ -116,5 +116,5 @@
 
     def is_loaded(self, adapter: str, version: str) -> bool:
         """Say whether an adapter version is in a slot and ready."""
-        slot = self.held.get((adapter, version))
+        slot = self.occupied.get((adapter, version))
         return slot is not None and slot.loading is None
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine_streams.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/engine_streams.py
@@ -15,7 +15,7 @@
 
 FOREIGN_DISPATCH: Final = "0.given-up"
 
-Arrange = Callable[[Chunk], list[Chunk]]
+ChunkTransform = Callable[[Chunk], list[Chunk]]
 
 
 class Stream:
@@ -32,31 +32,31 @@
         self._response = response
         self._cut, self._silent = faults.cut_streams_after, faults.silent_after
         self._delay_s = faults.chunk_delay_ms / 1000
-        self._arranges = _arranges(faults)
-        self._thaw = thaw
+        self._transforms = _make_transforms(faults)
+        self._wait_while_frozen = thaw
         self._sent = 0
 
     async def send(self, sequence: Sequence, first: int) -> bool:
         """Send chunks up to the final one; say whether the stream ended well."""
         position = first
-        while not (serving.is_closed(self._request) or sequence.lost):
-            grown = sequence.grown
-            await self._thaw()
+        while not (serving.is_disconnected(self._request) or sequence.lost):
+            grown = sequence.chunk_added
+            await self._wait_while_frozen()
             for chunk in sequence.chunks[position:]:
                 position += 1
-                if not await self._send_arranged(chunk):
+                if not await self._send_transformed(chunk):
                     return False
             if self._cut and self._sent >= self._cut:
                 return False
-            if sequence.ended is not None and position >= len(sequence.chunks):
+            if sequence.ended_at is not None and position >= len(sequence.chunks):
                 return True
             await grown.wait()
         return False
 
-    async def _send_arranged(self, chunk: Chunk) -> bool:
+    async def _send_transformed(self, chunk: Chunk) -> bool:
         """Send what stands for a chunk; say whether the stream goes on."""
         lines = [chunk]
-        for arrange in self._arranges:
+        for arrange in self._transforms:
             lines = [out for line in lines for out in arrange(line)]
         for line in lines:
             if self._cut and self._sent >= self._cut:
@@ -71,8 +71,8 @@
         return True
 
 
-def _arranges(faults: Faults) -> list[Arrange]:
-    found: list[Arrange] = []
+def _make_transforms(faults: Faults) -> list[ChunkTransform]:
+    found: list[ChunkTransform] = []
     if faults.omit >= 0:
         found.append(_omit(faults.omit))
         # Only this stream; a resumed one gets the chunk.
@@ -84,7 +84,7 @@
     return found
 
 
-def _omit(number: int) -> Arrange:
+def _omit(number: int) -> ChunkTransform:
     return lambda chunk: [] if chunk.seq == number else [chunk]
 
 
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/load.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/load.py
@@ -21,11 +21,11 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-LOWEST_US: Final = 1
-HIGHEST_US: Final = 120_000_000
-DIGITS: Final = 3
+MIN_LATENCY_US: Final = 1
+MAX_LATENCY_US: Final = 120_000_000
+SIGNIFICANT_DIGITS: Final = 3
 PERCENTILES: Final = (50.0, 95.0, 99.0, 100.0)
-US: Final = 1_000_000.0
+US_PER_S: Final = 1_000_000.0
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
@@ -56,7 +56,7 @@
     seed: int = 1
 
 
-class Shot(msgspec.Struct, frozen=True):
+class Arrival(msgspec.Struct, frozen=True):
     """One request to send: `at` seconds after the start."""
 
     at: float
@@ -65,16 +65,16 @@
     caller: int
 
 
-def schedule(plan: Plan) -> list[Shot]:
+def schedule(plan: Plan) -> list[Arrival]:
     """Returns all requests of a run; the same for the same plan."""
     rng = Random(plan.seed)
     weights = [(rank + 1) ** -plan.skew for rank in range(plan.adapters)]
-    shots: list[Shot] = []
+    shots: list[Arrival] = []
     at = rng.expovariate(plan.rate)
     while at < plan.seconds:
         adapter = rng.choices(range(plan.adapters), weights)[0] if plan.adapters > 1 else 0
         target = plan.targets[len(shots) % len(plan.targets)]
-        shots.append(Shot(at, target, adapter, rng.randrange(plan.callers)))
+        shots.append(Arrival(at, target, adapter, rng.randrange(plan.callers)))
         at += rng.expovariate(plan.rate)
     return shots
 
@@ -82,24 +82,24 @@
 class Results:
     """What callers saw."""
 
-    __slots__ = ("between", "ends", "first", "tokens", "whole")
+    __slots__ = ("between_tokens", "first_token", "outcomes", "tokens", "total")
 
     def __init__(self) -> None:
-        self.first = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-        self.between = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-        self.whole = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-        self.ends: Counter[str] = Counter()
+        self.first_token = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        self.between_tokens = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        self.total = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        self.outcomes: Counter[str] = Counter()
         self.tokens = 0
 
     def document(self, seconds: float) -> dict[str, Any]:
         """Returns the figures as a document; times are milliseconds."""
         return {
-            "ends": dict(sorted(self.ends.items())),
-            "answered_per_s": round(self.ends["answered"] / seconds, 2),
+            "ends": dict(sorted(self.outcomes.items())),
+            "answered_per_s": round(self.outcomes["answered"] / seconds, 2),
             "tokens_per_s": round(self.tokens / seconds, 1),
-            "first_token_ms": _percentiles(self.first),
-            "between_tokens_ms": _percentiles(self.between),
-            "whole_ms": _percentiles(self.whole),
+            "first_token_ms": _percentiles(self.first_token),
+            "between_tokens_ms": _percentiles(self.between_tokens),
+            "whole_ms": _percentiles(self.total),
         }
 
 
@@ -108,12 +108,12 @@
     return {name: round(value, 3) for name, value in found.items()}
 
 
-def record(histogram: Any, seconds: float) -> None:
+def record_latency(histogram: Any, seconds: float) -> None:
     """Records a duration in a histogram of microseconds."""
-    histogram.record_value(max(LOWEST_US, min(HIGHEST_US, math.ceil(seconds * US))))
+    histogram.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, math.ceil(seconds * US_PER_S))))
 
 
-async def run(plan: Plan, shots: Sequence[Shot] | None = None) -> Results:
+async def run(plan: Plan, arrivals: Sequence[Arrival] | None = None) -> Results:
     """Sends all requests of a plan and waits for their ends."""
     results = Results()
     loop = asyncio.get_running_loop()
@@ -121,7 +121,7 @@
     async with aiohttp.ClientSession(connector=connector) as session:
         start = loop.time()
         tasks = []
-        for shot in shots if shots is not None else schedule(plan):
+        for shot in arrivals if arrivals is not None else schedule(plan):
             await asyncio.sleep(max(0.0, start + shot.at - loop.time()))
             work = _send(session, plan, shot, start + shot.at, results)
             tasks.append(asyncio.create_task(work))
@@ -130,7 +130,7 @@
 
 
 async def _send(
-    session: aiohttp.ClientSession, plan: Plan, shot: Shot, due: float, results: Results
+    session: aiohttp.ClientSession, plan: Plan, shot: Arrival, due: float, results: Results
 ) -> None:
     doc = {
         "model": f"{plan.service}/a{shot.adapter}",
@@ -144,20 +144,20 @@
     try:
         async with session.post(url, json=doc, headers=headers, timeout=timeout) as resp:
             if resp.status != 200:
-                results.ends[await _refusal(resp)] += 1
+                results.outcomes[await _refusal_outcome(resp)] += 1
                 return
-            await _read(resp, due, results)
+            await _read_stream(resp, due, results)
     except (aiohttp.ClientError, TimeoutError, OSError) as exc:
-        results.ends[f"lost:{type(exc).__name__}"] += 1
+        results.outcomes[f"lost:{type(exc).__name__}"] += 1
 
 
-async def _refusal(resp: aiohttp.ClientResponse) -> str:
+async def _refusal_outcome(resp: aiohttp.ClientResponse) -> str:
     doc = await resp.json(content_type=None)
     error = doc.get("error", {}) if isinstance(doc, dict) else {}
     return f"{error.get('outcome', resp.status)}:{error.get('reason', '')}"
 
 
-async def _read(resp: aiohttp.ClientResponse, due: float, results: Results) -> None:
+async def _read_stream(resp: aiohttp.ClientResponse, due: float, results: Results) -> None:
     """Reads server-sent events to their end."""
     loop = asyncio.get_running_loop()
     last = due
@@ -166,21 +166,21 @@
         if not line.startswith(b"data: "):
             continue
         if line.startswith(b"data: [DONE]"):
-            results.ends["answered"] += 1
-            record(results.whole, loop.time() - due)
+            results.outcomes["answered"] += 1
+            record_latency(results.total, loop.time() - due)
             return
         doc = json.loads(line[6:])
         if "error" in doc:
-            results.ends[f"{doc['error'].get('outcome')}:{doc['error'].get('reason')}"] += 1
+            results.outcomes[f"{doc['error'].get('outcome')}:{doc['error'].get('reason')}"] += 1
             return
         if not doc["choices"][0].get("text"):
             continue
         now = loop.time()
-        record(results.between if seen else results.first, now - last)
+        record_latency(results.between_tokens if seen else results.first_token, now - last)
         last = now
         seen += 1
         results.tokens += 1
-    results.ends["cut"] += 1
+    results.outcomes["cut"] += 1
 
 
 def main() -> None:
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/many.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/many.py
@@ -14,7 +14,7 @@
 from wigeonarch_fakes.engine_documents import Settings
 
 
-class Hosted:
+class HostedEngines:
     """The hosted engines.
 
     Attributes:
@@ -34,9 +34,9 @@
             await engine.stop()
 
 
-async def host(
+async def host_engines(
     platform: str, zones: list[str], service: str, count: int, settings: Settings
-) -> Hosted:
+) -> HostedEngines:
     """Starts `count` engines, spread over the zones, and puts them on the platform's list."""
     engines: dict[str, RunningEngine] = {}
     async with aiohttp.ClientSession() as session:
@@ -55,7 +55,7 @@
             url = f"http://{platform}/v1/instances/{name}"
             async with session.put(url, data=msgspec.json.encode(item)) as resp:
                 resp.raise_for_status()
-    return Hosted(engines)
+    return HostedEngines(engines)
 
 
 def main() -> None:
@@ -74,7 +74,7 @@
         slots=args.slots, max_batch=args.max_batch, base_ms=args.base_ms, load_ms=args.load_ms
     )
     zones = args.zones.split(",")
-    serving.run_main(lambda: host(args.platform, zones, args.service, args.count, settings))
+    serving.run_main(lambda: host_engines(args.platform, zones, args.service, args.count, settings))
 
 
 if __name__ == "__main__":
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform.py
@@ -28,10 +28,10 @@
 from wigeonarch_fakes.platform_instances import Instance, InstanceList
 from wigeonarch_fakes.platform_objects import Change, Conflict, ObjectStore, Watch
 
-BOOKMARK_S: Final = 0.5
-HISTORY: Final = 100_000
+BOOKMARK_INTERVAL_S: Final = 0.5
+MAX_HISTORY: Final = 100_000
 MAX_VALUE_BYTES: Final = 1024 * 1024
-DEFAULT_LIMIT: Final = 500
+DEFAULT_PAGE_SIZE: Final = 500
 WRITE_METHODS: Final = frozenset({"PUT", "DELETE"})
 ANY_VERSION: Final = "*"
 
@@ -90,18 +90,18 @@
 class Platform:
     """The platform's state and its HTTP handlers."""
 
-    def __init__(self, history: int = HISTORY) -> None:
+    def __init__(self, history: int = MAX_HISTORY) -> None:
         self.faults = Faults()
         self.objects = ObjectStore(history)
         self.instances = InstanceList()
         self.counts = CallCounts()
-        self._frozen: list[Instance] | None = None
+        self._frozen_list: list[Instance] | None = None
         self._buckets = {True: serving.TokenBucket(0), False: serving.TokenBucket(0)}
 
     def app(self) -> web.Application:
         """Return the application with all routes."""
         app = web.Application(
-            middlewares=[serving.refuse_malformed, self._admit],
+            middlewares=[serving.refuse_malformed, self._apply_request_faults],
             client_max_size=serving.MAX_BODY_BYTES,
         )
         app.add_routes(
@@ -132,10 +132,10 @@
                 True: serving.TokenBucket(faults.writes_per_s),
                 False: serving.TokenBucket(faults.reads_per_s),
             }
-        if faults.freeze_list and self._frozen is None:
-            self._frozen = self.instances.show(before.list_lag_s)
+        if faults.freeze_list and self._frozen_list is None:
+            self._frozen_list = self.instances.lagging_list(before.list_lag_s)
         if not faults.freeze_list:
-            self._frozen = None
+            self._frozen_list = None
         for watch in self._open_watches():
             watch.wake.set()
 
@@ -150,7 +150,9 @@
         return headers.get("X-Instance") in blocked or headers.get("X-Zone") in blocked
 
     @web.middleware
-    async def _admit(self, request: web.Request, handler: serving.Handler) -> web.StreamResponse:
+    async def _apply_request_faults(
+        self, request: web.Request, handler: serving.Handler
+    ) -> web.StreamResponse:
         if serving.is_control(request):
             return await handler(request)
         if self._is_blocked(request):
@@ -162,7 +164,7 @@
             return await serving.never_answer(request)
         if self.faults.delay_ms:
             await asyncio.sleep(self.faults.delay_ms / 1000)
-        return self._refusal(request) or await self._answer(request, handler)
+        return self._refusal(request) or await self._run_handler(request, handler)
 
     def _refusal(self, request: web.Request) -> web.Response | None:
         if self.faults.down:
@@ -174,7 +176,9 @@
             return serving.error_response(429, "rate_limited", retry_after_s=round(wait_s, 3))
         return None
 
-    async def _answer(self, request: web.Request, handler: serving.Handler) -> web.StreamResponse:
+    async def _run_handler(
+        self, request: web.Request, handler: serving.Handler
+    ) -> web.StreamResponse:
         response = await handler(request)
         is_done_write = request.method in WRITE_METHODS and response.status == 200
         if is_done_write and self.faults.lose_answers > 0:
@@ -190,7 +194,7 @@
         return serving.json_response(item)
 
     async def _list(self, request: web.Request) -> web.Response:
-        limit = max(1, int(request.query.get("limit", DEFAULT_LIMIT)))
+        limit = max(1, int(request.query.get("limit", DEFAULT_PAGE_SIZE)))
         after = request.query.get("after", "")
         items, more = self.objects.page(request.match_info["kind"], after, limit)
         document = {"items": items, "revision": self.objects.revision, "more": more}
@@ -222,7 +226,7 @@
         since = int(request.query.get("since", "0"))
         if since < self.objects.compacted:
             return serving.error_response(410, "compacted")
-        watch = Watch(self.objects.since(kind, since))
+        watch = Watch(self.objects.changes_since(kind, since))
         group = self.objects.watches.setdefault(kind, set())
         group.add(watch)
         try:
@@ -238,22 +242,24 @@
         self, request: web.Request, response: web.StreamResponse, watch: Watch
     ) -> None:
         bookmark_at = 0.0
-        while not (serving.is_closed(request) or self.faults.down or self._is_blocked(request)):
+        while not (
+            serving.is_disconnected(request) or self.faults.down or self._is_blocked(request)
+        ):
             if not (watch.muted or self.faults.swallow):
                 lines = list(watch.pending)
                 watch.pending.clear()
                 if time.monotonic() >= bookmark_at:
                     lines.append(Change("bookmark", self.objects.revision))
-                    bookmark_at = time.monotonic() + BOOKMARK_S
+                    bookmark_at = time.monotonic() + BOOKMARK_INTERVAL_S
                 if lines:
                     await response.write(msgspec.json.Encoder().encode_lines(lines))
             wait_s = bookmark_at - time.monotonic()
-            await _wait_for(watch.wake, wait_s if wait_s > 0 else BOOKMARK_S)
+            await _wait_for(watch.wake, wait_s if wait_s > 0 else BOOKMARK_INTERVAL_S)
 
     async def _list_instances(self, request: web.Request) -> web.Response:
-        items = self._frozen
+        items = self._frozen_list
         if items is None:
-            items = self.instances.show(self.faults.list_lag_s)
+            items = self.instances.lagging_list(self.faults.list_lag_s)
         return serving.json_response({"items": items})
 
     async def _put_instance(self, request: web.Request) -> web.Response:
@@ -282,7 +288,7 @@
             "waiting_watches": len(self._open_watches()),
             "revision": self.objects.revision,
             "objects": {kind: list(items.values()) for kind, items in self.objects.kinds.items()},
-            "instances": list(self.instances.truth.values()),
+            "instances": list(self.instances.current.values()),
         }
 
 
@@ -311,7 +317,7 @@
 
 
 async def start_platform(
-    port: int = 0, *, history: int = HISTORY, list_lag_s: float = 0
+    port: int = 0, *, history: int = MAX_HISTORY, list_lag_s: float = 0
 ) -> RunningPlatform:
     """Start a platform on a loopback port."""
     platform = Platform(history)
@@ -322,7 +328,7 @@
 def main() -> None:
     """Run the platform as a program."""
     parser = serving.common_parser("stand-in for the platform")
-    parser.add_argument("--history", type=int, default=HISTORY)
+    parser.add_argument("--history", type=int, default=MAX_HISTORY)
     parser.add_argument("--list-lag-s", type=float, default=0)
     args = parser.parse_args()
     serving.run_main(
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform_instances.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform_instances.py
@@ -23,19 +23,19 @@
     """The list of instances, which shows changes only after a lag."""
 
     def __init__(self) -> None:
-        self.truth: dict[str, Instance] = {}
+        self.current: dict[str, Instance] = {}
         self._shown: dict[str, Instance] = {}
         self._pending: deque[tuple[float, str, Instance | None]] = deque()
 
     def set(self, name: str, instance: Instance | None) -> None:
         """Register an instance, or remove it."""
         if instance is None:
-            self.truth.pop(name, None)
+            self.current.pop(name, None)
         else:
-            self.truth[name] = instance
+            self.current[name] = instance
         self._pending.append((time.monotonic(), name, instance))
 
-    def show(self, lag_s: float) -> list[Instance]:
+    def lagging_list(self, lag_s: float) -> list[Instance]:
         """Return the list as it was ``lag_s`` ago, and never earlier than already shown."""
         until = time.monotonic() - lag_s
         while self._pending and self._pending[0][0] <= until:
@@ -44,8 +44,8 @@
                 self._shown.pop(name, None)
             else:
                 self._shown[name] = instance
-        return self.shown()
+        return self.last_shown()
 
-    def shown(self) -> list[Instance]:
+    def last_shown(self) -> list[Instance]:
         """Return the list as last shown."""
         return [self._shown[name] for name in sorted(self._shown)]
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform_objects.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform_objects.py
@@ -60,7 +60,7 @@
         self.watches: dict[str, set[Watch]] = {}
         self._names: dict[str, list[str]] = {}
         self._history: deque[tuple[str, Change]] = deque()
-        self._limit = history
+        self._max_history = history
 
     def get(self, kind: str, name: str) -> Item | None:
         """Return an object, if present."""
@@ -75,7 +75,7 @@
 
     def put(self, kind: str, name: str, expected: int, value: bytes) -> int:
         """Write an object whose present version must be ``expected`` (0 when absent)."""
-        present = self._check(kind, name, expected)
+        present = self._check_version(kind, name, expected)
         self.revision += 1
         item = Item(name, self.revision, msgspec.Raw(value))
         self.kinds.setdefault(kind, {})[name] = item
@@ -86,7 +86,7 @@
 
     def delete(self, kind: str, name: str, expected: int) -> int:
         """Delete an object whose present version must be ``expected``."""
-        if self._check(kind, name, expected) is None:
+        if self._check_version(kind, name, expected) is None:
             raise Conflict(0)
         self.revision += 1
         del self.kinds[kind][name]
@@ -95,7 +95,7 @@
         self._publish(kind, Change("delete", self.revision, name))
         return self.revision
 
-    def since(self, kind: str, revision: int) -> list[Change]:
+    def changes_since(self, kind: str, revision: int) -> list[Change]:
         """Return the changes of one kind after a revision that isn't compacted."""
         found: list[Change] = []
         for changed, change in reversed(self._history):
@@ -106,7 +106,7 @@
         found.reverse()
         return found
 
-    def _check(self, kind: str, name: str, expected: int) -> Item | None:
+    def _check_version(self, kind: str, name: str, expected: int) -> Item | None:
         present = self.get(kind, name)
         version = 0 if present is None else present.version
         if version != expected:
@@ -115,7 +115,7 @@
 
     def _publish(self, kind: str, change: Change) -> None:
         self._history.append((kind, change))
-        if len(self._history) > self._limit:
+        if len(self._history) > self._max_history:
             self.compacted = self._history.popleft()[1].version
         for watch in self.watches.get(kind, ()):
             watch.push(change)
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/procbench.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/procbench.py
@@ -20,42 +20,43 @@
 import msgspec
 import uvloop
 
-from wigeonarch_fakes import load, setting_up, usage
+from wigeonarch_fakes import catalogue_setup as setting_up
+from wigeonarch_fakes import load, usage
 from wigeonarch_fakes.processes import Deployment, call, deployment, wait_for
 
 ZONES: Final = ("zone-a", "zone-b", "zone-c")
 SERVICE: Final = "drafting"
 ENGINE_ARGS: Final = (*("--max-batch", "64"), *("--base-ms", "10"), *("--load-ms", "20"))
-SETTLE: Final = 2.0
+SETTLE_S: Final = 2.0
 
 
-def start(dep: Deployment, engines: int, adapters: int) -> list[str]:
+def start_deployment(dep: Deployment, engines: int, adapters: int) -> list[str]:
     """Starts platform, engines and one entry instance per zone; returns the doors' addresses."""
-    platform = dep.platform()
-    dep.fake(
+    platform = dep.start_platform()
+    dep.start_stand_in(
         "many",
         "engines",
         *("--platform", platform.address, "--zones", ",".join(ZONES), "--service", SERVICE),
         *("--count", str(engines), "--slots", str(adapters), *ENGINE_ARGS),
     )
     for zone in ZONES:
-        dep.entry(f"entry-{zone}", zone, log_level="WARNING")
+        dep.start_entry(f"entry-{zone}", zone, log_level="WARNING")
     names = [f"entry-{zone}" for zone in ZONES]
-    dep.ready(*names)
-    setting_up.set_up(dep.entries[names[0]]["rpc"], SERVICE, adapters)
+    dep.wait_ready(*names)
+    setting_up.create_model_service(dep.entries[names[0]]["rpc"], SERVICE, adapters)
     doors = [dep.address(name) for name in names]
     for door in doors:
         for adapter in range(adapters):
-            _warm(door, adapter)
+            _load_adapter(door, adapter)
     return doors
 
 
-def _warm(door: str, adapter: int) -> None:
+def _load_adapter(door: str, adapter: int) -> None:
     doc = {"model": f"{SERVICE}/a{adapter}", "prompt": "warm", "max_tokens": 2}
     wait_for(lambda: call("POST", f"{door}/v1/completions", doc)[0] == 200, f"a{adapter} warm")
 
 
-async def direct(address: str, plan: load.Plan) -> load.Results:
+async def run_direct(address: str, plan: load.Plan) -> load.Results:
     """Sends the plan's arrivals straight to one engine stand-in."""
     results = load.Results()
     loop = asyncio.get_running_loop()
@@ -67,13 +68,13 @@
         tasks = []
         for number, shot in enumerate(load.schedule(plan)):
             await asyncio.sleep(max(0.0, begin + shot.at - loop.time()))
-            work = _direct_one(session, address, plan, number, begin + shot.at, results)
+            work = _send_direct(session, address, plan, number, begin + shot.at, results)
             tasks.append(asyncio.create_task(work))
         await asyncio.gather(*tasks)
     return results
 
 
-async def _direct_one(
+async def _send_direct(
     session: aiohttp.ClientSession,
     address: str,
     plan: load.Plan,
@@ -94,44 +95,44 @@
     last, seen = due, 0
     async with session.post(f"http://{address}/v1/generate", json=doc) as resp:
         if resp.status != 200:
-            results.ends[f"status:{resp.status}"] += 1
+            results.outcomes[f"status:{resp.status}"] += 1
             return
         async for line in resp.content:
             chunk = json.loads(line)
             now = loop.time()
-            load.record(results.between if seen else results.first, now - last)
+            load.record_latency(results.between_tokens if seen else results.first_token, now - last)
             last, seen = now, seen + 1
             results.tokens += 1
             if chunk["final"]:
-                results.ends["answered"] += 1
-                load.record(results.whole, now - due)
+                results.outcomes["answered"] += 1
+                load.record_latency(results.total, now - due)
 
 
 def measure(rate: float, seconds: float, tokens: int, adapters: int, engines: int) -> Any:
     """Runs both ways at one rate; returns the figures as a document."""
     with tempfile.TemporaryDirectory() as folder, deployment(Path(folder)) as dep:
-        doors = start(dep, engines, adapters)
-        alone = dep.fake("engine", "alone", *ENGINE_ARGS, "--slots", "1")
+        doors = start_deployment(dep, engines, adapters)
+        alone = dep.start_stand_in("engine", "alone", *ENGINE_ARGS, "--slots", "1")
         plan = load.Plan(
             targets=tuple(doors), adapters=adapters, rate=rate, seconds=seconds, tokens=tokens
         )
         # One engine gets directly what each of the others gets through the doors.
         share = msgspec.structs.replace(plan, rate=rate / engines)
-        straight = _run(direct(alone.address, share))
-        time.sleep(SETTLE)  # The stand-ins end what the direct run left behind.
+        straight = _run_coroutine(run_direct(alone.address, share))
+        time.sleep(SETTLE_S)  # The stand-ins end what the direct run left behind.
         pids = {name: dep.programs[name].process.pid for name in dep.entries}
-        before = {name: usage.read(pid, dep.address(name)) for name, pid in pids.items()}
+        before = {name: usage.read_usage(pid, dep.address(name)) for name, pid in pids.items()}
         through = run_load(plan)
-        after = {name: usage.read(pid, dep.address(name)) for name, pid in pids.items()}
+        after = {name: usage.read_usage(pid, dep.address(name)) for name, pid in pids.items()}
     spent = sum(after[name].since(before[name]).cpu_s for name in pids)
     document = through.document(seconds)
-    answered = max(1, through.ends["answered"])
+    answered = max(1, through.outcomes["answered"])
     return {
         "rate": rate,
         "direct": straight.document(seconds),
         "through": document,
-        "added_first_token_ms": _added(straight, through, "first_token_ms", seconds),
-        "added_between_tokens_ms": _added(straight, through, "between_tokens_ms", seconds),
+        "added_first_token_ms": _added_latency(straight, through, "first_token_ms", seconds),
+        "added_between_tokens_ms": _added_latency(straight, through, "between_tokens_ms", seconds),
         "cpu_s": round(spent, 3),
         "requests_per_core_s": round(answered / spent, 1),
         "tokens_per_core_s": round(through.tokens / spent, 1),
@@ -141,16 +142,16 @@
 
 def run_load(plan: load.Plan) -> load.Results:
     """Runs a plan of the load tool to its end."""
-    return _run(load.run(plan))
+    return _run_coroutine(load.run(plan))
 
 
-def _run(work: Any) -> load.Results:
+def _run_coroutine(work: Any) -> load.Results:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         results: load.Results = runner.run(work)
     return results
 
 
-def _added(
+def _added_latency(
     straight: load.Results, through: load.Results, figure: str, seconds: float
 ) -> dict[str, float]:
     """Returns the difference of the percentiles, in milliseconds."""
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/processes.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/processes.py
@@ -18,12 +18,12 @@
 from pathlib import Path
 from typing import Any, Final
 
-BOUND: Final = 30.0
-POLL: Final = 0.05
+TIMEOUT_S: Final = 30.0
+POLL_INTERVAL_S: Final = 0.05
 LOOPBACK: Final = "127.0.0.1"
-PORTS: Final = (10_240, 32_000)
+PORT_RANGE: Final = (10_240, 32_000)
 
-_claims: list[socket.socket] = []
+_reserved_ports: list[socket.socket] = []
 
 
 def free_address() -> str:
@@ -33,7 +33,7 @@
     stays bound as long as this process runs, so that others who start programs pass it over.
     """
     while True:
-        port = random.randrange(*PORTS)
+        port = random.randrange(*PORT_RANGE)
         claim = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
             claim.bind((LOOPBACK, port))
@@ -42,16 +42,18 @@
         except OSError:
             claim.close()
             continue
-        _claims.append(claim)
+        _reserved_ports.append(claim)
         return f"{LOOPBACK}:{port}"
 
 
-def wait_for(holds: Callable[[], bool], what: str, bound: float = BOUND) -> None:
+def wait_for(condition: Callable[[], bool], description: str, timeout_s: float = TIMEOUT_S) -> None:
     """Waits until a condition holds; a generous bound, never a verdict on speed."""
-    until = time.monotonic() + bound
-    while not holds():
-        assert time.monotonic() < until, f"not within {bound} s: {what}"
-        time.sleep(POLL)  # The condition is in another process, so it can only be asked again.
+    until = time.monotonic() + timeout_s
+    while not condition():
+        assert time.monotonic() < until, f"not within {timeout_s} s: {description}"
+        time.sleep(
+            POLL_INTERVAL_S
+        )  # The condition is in another process, so it can only be asked again.
 
 
 def call(
@@ -64,13 +66,13 @@
     for key, value in (headers or {}).items():
         req.add_header(key, value)
     try:
-        with urllib.request.urlopen(req, timeout=BOUND) as resp:
-            return resp.status, _decoded(resp.read()), dict(resp.headers)
+        with urllib.request.urlopen(req, timeout=TIMEOUT_S) as resp:
+            return resp.status, _decode(resp.read()), dict(resp.headers)
     except urllib.error.HTTPError as exc:
-        return exc.code, _decoded(exc.read()), dict(exc.headers)
+        return exc.code, _decode(exc.read()), dict(exc.headers)
 
 
-def _decoded(body: bytes) -> Any:
+def _decode(body: bytes) -> Any:
     try:
         return json.loads(body)
     except ValueError:
@@ -86,11 +88,11 @@
     address: str
     log: Path
 
-    def stop(self, number: int = signal.SIGTERM) -> int:
+    def stop(self, signal_number: int = signal.SIGTERM) -> int:
         """Signals the process, waits for its end and returns its exit code."""
         if self.process.poll() is None:
-            self.process.send_signal(number)
-        return self.process.wait(BOUND)
+            self.process.send_signal(signal_number)
+        return self.process.wait(TIMEOUT_S)
 
 
 @dataclass
@@ -101,7 +103,7 @@
     programs: dict[str, Program] = field(default_factory=dict)
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
 
-    def fake(self, kind: str, name: str, *args: str) -> Program:
+    def start_stand_in(self, kind: str, name: str, *args: str) -> Program:
         """Starts a stand-in and waits for its ready line."""
         command = [sys.executable, "-m", f"wigeonarch_fakes.{kind}", *args]
         log = self.folder / f"{name}.log"
@@ -112,13 +114,13 @@
         self.programs[name] = Program(name, process, line.split()[1], log)
         return self.programs[name]
 
-    def platform(self) -> Program:
+    def start_platform(self) -> Program:
         """Starts the platform."""
-        return self.fake("platform", "platform")
+        return self.start_stand_in("platform", "platform")
 
-    def endpoint(self, kind: str, name: str, zone: str, service: str, *args: str) -> Program:
+    def start_endpoint(self, kind: str, name: str, zone: str, service: str, *args: str) -> Program:
         """Starts a model engine or a plain service and puts it on the platform's list."""
-        program = self.fake(kind, name, *args)
+        program = self.start_stand_in(kind, name, *args)
         item = {
             "name": name,
             "address": program.address,
@@ -131,7 +133,7 @@
         assert status == 200
         return program
 
-    def entry(self, name: str, zone: str, **settings: Any) -> Program:
+    def start_entry(self, name: str, zone: str, **settings: Any) -> Program:
         """Starts an entry instance; the process is running, not necessarily ready."""
         doc = {
             "instance": name,
@@ -161,7 +163,7 @@
         """Returns the HTTP address of a program."""
         return self.programs[name].address
 
-    def ready(self, *names: str) -> None:
+    def wait_ready(self, *names: str) -> None:
         """Waits until entry instances are ready and know each other."""
         for name in names:
             self._wait_ready(name)
@@ -181,25 +183,25 @@
         except OSError:
             return False
 
-    def ctl(self, entry: str, *args: str) -> tuple[int, Any]:
+    def run_ctl(self, entry: str, *args: str) -> tuple[int, Any]:
         """Runs `wigeonctl` against an entry instance; returns exit code and decoded output."""
         server = self.entries[entry]["rpc"]
         command = [
             *(sys.executable, "-m", "wigeonarch_ctl", "--server", server),
             *("--output", "json", *args),
         ]
-        done = subprocess.run(command, capture_output=True, timeout=BOUND, check=False)
+        done = subprocess.run(command, capture_output=True, timeout=TIMEOUT_S, check=False)
         output = done.stdout.decode() or done.stderr.decode()
         try:
             return done.returncode, json.loads(output)
         except ValueError:
             return done.returncode, output
 
-    def record(self, name: str) -> Any:
+    def read_record(self, name: str) -> Any:
         """Returns what a stand-in really did."""
         return call("GET", f"{self.address(name)}/_control/record")[1]
 
-    def faults(self, name: str, **faults: Any) -> None:
+    def set_faults(self, name: str, **faults: Any) -> None:
         """Brings faults about in a stand-in."""
         assert call("POST", f"{self.address(name)}/_control/faults", faults)[0] == 200
 
@@ -209,7 +211,7 @@
             if program.process.poll() is None:
                 os.kill(program.process.pid, signal.SIGCONT)
                 program.process.kill()
-                program.process.wait(BOUND)
+                program.process.wait(TIMEOUT_S)
 
 
 @contextmanager
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_bench.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_bench.py
@@ -23,23 +23,23 @@
 import msgspec
 from wigeonarch_core.quota_ledger import QuotaLedger
 
-from wigeonarch_fakes.quota_ways import BucketBank, EqualShares, ToldSums
-from wigeonarch_fakes.quota_world import BOUNDS, AskBankers, Way, World, quota
+from wigeonarch_fakes.quota_schemes import EqualShares, HeartbeatSums, TokenBucketLedger
+from wigeonarch_fakes.quota_world import BOUNDS, QuotaScheme, World, ZoneCoordinators, quota
 
 SEEDS: Final = 5
 ZONES: Final = 3
 ZONE_SIZE: Final = 8
-USUAL: Final = 0.55  # Part of its quota that a team asks for on the whole.
-HOT: Final = 7.5  # Times that in a hot phase.
-HOT_FROM: Final = 16.0  # Seconds.
-HOT_UNTIL: Final = 44.0
-CUT_FROM: Final = 12.0
-CUT_FOR: Final = 14.0
-RESTART_AT: Final = 22.0
-END: Final = 60.0
-LARGE_TEAM: Final = 95_140.0  # Units a second.
-SMALL_TEAM: Final = 2_700.0
-PLOTTED: Final = "zone cut"
+USUAL_LOAD_PART: Final = 0.55  # Part of its quota that a team asks for on the whole.
+HOT_FACTOR: Final = 7.5  # Times that in a hot phase.
+HOT_START_SECONDS: Final = 16.0  # Seconds.
+HOT_END_SECONDS: Final = 44.0
+CUT_START_SECONDS: Final = 12.0
+CUT_SECONDS: Final = 14.0
+RESTART_AT_SECONDS: Final = 22.0
+END_SECONDS: Final = 60.0
+LARGE_TEAM_RATE: Final = 95_140.0  # Units a second.
+SMALL_TEAM_RATE: Final = 2_700.0
+PLOTTED_SCENARIO: Final = "zone cut"
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,14 +56,14 @@
 
     name: str
     rate: float
-    hot: bool = True
-    trouble: Callable[[World], None] = lambda world: None
-    at: float = 0.0
+    has_hot_phase: bool = True
+    fault: Callable[[World], None] = lambda world: None
+    fault_at: float = 0.0
 
     def load(self, now: float) -> float:
         """Returns the units a second that callers ask for at a time."""
-        hot = self.hot and HOT_FROM <= now < HOT_UNTIL
-        return USUAL * self.rate * (HOT if hot else 1.0)
+        hot = self.has_hot_phase and HOT_START_SECONDS <= now < HOT_END_SECONDS
+        return USUAL_LOAD_PART * self.rate * (HOT_FACTOR if hot else 1.0)
 
 
 class Row(msgspec.Struct, frozen=True):
@@ -94,77 +94,84 @@
     rows: list[Row]
 
 
-def cut_a_zone(world: World) -> None:
+def isolate_zone(world: World) -> None:
     """Cuts a zone off for some seconds."""
-    world.cuts.append((world.now + CUT_FOR, 0))
+    world.zone_cuts.append((world.now + CUT_SECONDS, 0))
 
 
-def restart_all(world: World) -> None:
+def restart_all_instances(world: World) -> None:
     """Kills all instances, which start again knowing nothing."""
     for one in world.instances:
         world.kill(one)
 
 
 SCENARIOS: Final = (
-    Scenario("hot team", LARGE_TEAM),
-    Scenario(PLOTTED, LARGE_TEAM, trouble=cut_a_zone, at=CUT_FROM),
-    Scenario("all restarted", LARGE_TEAM, trouble=restart_all, at=RESTART_AT),
-    Scenario("small team", SMALL_TEAM, hot=False),
+    Scenario("hot team", LARGE_TEAM_RATE),
+    Scenario(PLOTTED_SCENARIO, LARGE_TEAM_RATE, fault=isolate_zone, fault_at=CUT_START_SECONDS),
+    Scenario(
+        "all restarted", LARGE_TEAM_RATE, fault=restart_all_instances, fault_at=RESTART_AT_SECONDS
+    ),
+    Scenario("small team", SMALL_TEAM_RATE, has_hot_phase=False),
 )
-WAYS: Final[dict[str, tuple[Callable[[], Way], type[QuotaLedger]]]] = {
+SCHEMES: Final[dict[str, tuple[Callable[[], QuotaScheme], type[QuotaLedger]]]] = {
     "equal shares": (EqualShares, QuotaLedger),
-    "told sums": (ToldSums, QuotaLedger),
-    "banker, bucket": (AskBankers, BucketBank),
-    "banker, account": (AskBankers, QuotaLedger),
+    "told sums": (HeartbeatSums, QuotaLedger),
+    "banker, bucket": (ZoneCoordinators, TokenBucketLedger),
+    "banker, account": (ZoneCoordinators, QuotaLedger),
 }
 
 
-def play(way: str, scenario: Scenario, seed: int) -> World:
+def run_scenario(way: str, scenario: Scenario, seed: int) -> World:
     """Plays a scenario on a way."""
-    made, bank = WAYS[way]
+    made, bank = SCHEMES[way]
     world = World(
         ZONES,
         ZONE_SIZE,
         quota(scenario.rate),
         seed,
-        troubles=False,
-        way=made(),
-        bank_made=bank,
+        random_faults=False,
+        scheme=made(),
+        make_ledger=bank,
     )
-    world.play(scenario.at, scenario.load)
-    scenario.trouble(world)
-    world.play(END, scenario.load)
+    world.run(scenario.fault_at, scenario.load)
+    scenario.fault(world)
+    world.run(END_SECONDS, scenario.load)
     return world
 
 
-def row(way: str, scenario: Scenario, worlds: Sequence[World]) -> Row:
+def summarize_runs(way: str, scenario: Scenario, worlds: Sequence[World]) -> Row:
     """Returns the figures of some plays."""
     return Row(
         way,
         scenario.name,
-        max(world.worst() for world in worlds),
-        mean(_within(world, scenario) for world in worlds),
-        mean(_in_hot_phase(world) for world in worlds) if scenario.hot else 0.0,
-        mean(world.messages / len(world.asked) for world in worlds),
+        max(world.worst_window() for world in worlds),
+        mean(_admitted_within_quota(world, scenario) for world in worlds),
+        mean(_admitted_in_hot_phase(world) for world in worlds) if scenario.has_hot_phase else 0.0,
+        mean(world.messages / len(world.requests) for world in worlds),
     )
 
 
-def _within(world: World, scenario: Scenario) -> float:
+def _admitted_within_quota(world: World, scenario: Scenario) -> float:
     """Returns the part that was admitted of what a team within its quota asked for."""
     calm = [
         (cost, granted)
-        for at, cost, granted in world.asked
-        if BOUNDS.window <= at and not (scenario.hot and HOT_FROM <= at < HOT_UNTIL + BOUNDS.window)
+        for at, cost, granted in world.requests
+        if BOUNDS.window <= at
+        and not (
+            scenario.has_hot_phase and HOT_START_SECONDS <= at < HOT_END_SECONDS + BOUNDS.window
+        )
     ]
     return sum(cost for cost, granted in calm if granted) / sum(cost for cost, _ in calm)
 
 
-def _in_hot_phase(world: World) -> float:
-    given = sum(cost for at, cost in world.given if HOT_FROM <= at < HOT_UNTIL)
-    return given / (BOUNDS.bound(world.quota) * (HOT_UNTIL - HOT_FROM) / BOUNDS.window)
+def _admitted_in_hot_phase(world: World) -> float:
+    given = sum(cost for at, cost in world.admitted if HOT_START_SECONDS <= at < HOT_END_SECONDS)
+    return given / (
+        BOUNDS.bound(world.quota) * (HOT_END_SECONDS - HOT_START_SECONDS) / BOUNDS.window
+    )
 
 
-def windows(units: Sequence[tuple[float, float]], at: float) -> float:
+def units_in_window(units: Sequence[tuple[float, float]], at: float) -> float:
     """Returns the units within the window that ends at a time."""
     return sum(cost for when, cost in units if at - BOUNDS.window < when <= at)
 
@@ -179,14 +186,21 @@
     from matplotlib import pyplot
 
     drawing, axes = pyplot.subplots(2, 2, figsize=(11.0, 7.0), sharex=True, sharey=True)
-    times = [at / 2 for at in range(int(2 * END) + 1)]
+    times = [at / 2 for at in range(int(2 * END_SECONDS) + 1)]
     for axis, (way, world) in zip(axes.flat, worlds.items(), strict=True):
-        asked = [(at, cost) for at, cost, _ in world.asked]
+        asked = [(at, cost) for at, cost, _ in world.requests]
         bound = BOUNDS.bound(world.quota)
-        axis.plot(times, [windows(asked, at) / bound for at in times], color="0.7", label="offered")
-        axis.plot(times, [windows(world.given, at) / bound for at in times], label="admitted")
+        axis.plot(
+            times,
+            [units_in_window(asked, at) / bound for at in times],
+            color="0.7",
+            label="offered",
+        )
+        axis.plot(
+            times, [units_in_window(world.admitted, at) / bound for at in times], label="admitted"
+        )
         axis.axhline(1.0, color="tab:red", linestyle="--", label="bound")
-        axis.axvspan(CUT_FROM, CUT_FROM + CUT_FOR, color="0.92")
+        axis.axvspan(CUT_START_SECONDS, CUT_START_SECONDS + CUT_SECONDS, color="0.92")
         axis.set_title(way)
         axis.set_ylim(0.0, 3.5)
     axes[0][0].legend(fontsize="small")
@@ -218,12 +232,12 @@
 
 def main() -> int:
     """Runs the comparison; returns the exit status: 0 if the way in use kept the bound."""
-    args = _arguments()
+    args = _parse_arguments()
     rows, plotted = [], {}
-    for scenario, way in itertools.product(SCENARIOS, WAYS):
-        worlds = [play(way, scenario, seed) for seed in range(1, args.seeds + 1)]
-        rows.append(row(way, scenario, worlds))
-        if scenario.name == PLOTTED:
+    for scenario, way in itertools.product(SCENARIOS, SCHEMES):
+        worlds = [run_scenario(way, scenario, seed) for seed in range(1, args.seeds + 1)]
+        rows.append(summarize_runs(way, scenario, worlds))
+        if scenario.name == PLOTTED_SCENARIO:
             plotted[way] = worlds[0]
     print(table(rows))
     if str(args.out) != "-":
@@ -234,7 +248,7 @@
     return int(any(one.worst > 1.0 for one in kept))
 
 
-def _arguments() -> argparse.Namespace:
+def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="wigeonarch_fakes.quota_bench", description=__doc__)
     parser.add_argument("--seeds", type=int, default=SEEDS, help="number of seeds, counted from 1")
     parser.add_argument(
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_ways.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_schemes.py
@@ -22,25 +22,25 @@
 from wigeonarch_fakes.quota_world import BOUNDS, Instance, World
 
 
-class Spent:
+class WindowUsage:
     """What one instance gave within the last window."""
 
-    __slots__ = ("_given", "total")
+    __slots__ = ("_grants", "total")
 
     def __init__(self) -> None:
         """Nothing was given."""
-        self._given: deque[tuple[float, float]] = deque()
+        self._grants: deque[tuple[float, float]] = deque()
         self.total = 0.0
 
     def add(self, cost: float, now: float) -> None:
         """Notes units that were given."""
-        self._given.append((now, cost))
+        self._grants.append((now, cost))
         self.total += cost
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forgets what is older than the window."""
-        while self._given and self._given[0][0] <= now - BOUNDS.window:
-            self.total -= self._given.popleft()[1]
+        while self._grants and self._grants[0][0] <= now - BOUNDS.window:
+            self.total -= self._grants.popleft()[1]
 
 
 class EqualShares:
@@ -48,66 +48,66 @@
 
     def __init__(self) -> None:
         """Nothing was given."""
-        self._spent: dict[str, Spent] = {}
+        self._usage: dict[str, WindowUsage] = {}
 
-    def take(self, world: World, asker: Instance, cost: float) -> bool:
+    def acquire(self, world: World, requester: Instance, cost: float) -> bool:
         """Gives while the own part of the window has room."""
-        spent = self._spent.setdefault(asker.name, Spent())
-        spent.forget(world.now)
+        spent = self._usage.setdefault(requester.name, WindowUsage())
+        spent.expire(world.now)
         if spent.total + cost > BOUNDS.bound(world.quota) / len(world.instances):
             return False
         spent.add(cost, world.now)
         return True
 
-    def beat(self, world: World) -> None:
+    def exchange_heartbeats(self, world: World) -> None:
         """Heartbeats carry nothing."""
 
-    def restarted(self, one: Instance) -> None:
+    def on_restart(self, instance: Instance) -> None:
         """What a new process gives is bounded by its part, whatever the former one gave."""
-        self._spent.pop(one.name, None)
+        self._usage.pop(instance.name, None)
 
 
-class ToldSums:
+class HeartbeatSums:
     """Each instance gives by what all told with their last heartbeats, and what it gave itself."""
 
     def __init__(self) -> None:
         """Nothing was given or told."""
-        self._spent: dict[str, Spent] = {}
-        self._heard: dict[str, dict[str, float]] = {}
+        self._usage: dict[str, WindowUsage] = {}
+        self._reported_usage: dict[str, dict[str, float]] = {}
 
-    def take(self, world: World, asker: Instance, cost: float) -> bool:
+    def acquire(self, world: World, requester: Instance, cost: float) -> bool:
         """Gives while the sum that is known leaves room."""
-        spent = self._spent.setdefault(asker.name, Spent())
-        spent.forget(world.now)
-        others = sum(self._heard.get(asker.name, {}).values())
+        spent = self._usage.setdefault(requester.name, WindowUsage())
+        spent.expire(world.now)
+        others = sum(self._reported_usage.get(requester.name, {}).values())
         if spent.total + others + cost > BOUNDS.bound(world.quota):
             return False
         spent.add(cost, world.now)
         return True
 
-    def beat(self, world: World) -> None:
+    def exchange_heartbeats(self, world: World) -> None:
         """Tells all instances in reach what each gave within the last window."""
         for one in world.instances:
-            spent = self._spent.setdefault(one.name, Spent())
-            spent.forget(world.now)
+            spent = self._usage.setdefault(one.name, WindowUsage())
+            spent.expire(world.now)
             for other in world.instances:
-                if other is not one and world.reach(one, other):
-                    self._heard.setdefault(other.name, {})[one.name] = spent.total
+                if other is not one and world.can_reach(one, other):
+                    self._reported_usage.setdefault(other.name, {})[one.name] = spent.total
 
-    def restarted(self, one: Instance) -> None:
+    def on_restart(self, instance: Instance) -> None:
         """The new process knows nothing of what was given."""
-        self._spent.pop(one.name, None)
-        self._heard.pop(one.name, None)
+        self._usage.pop(instance.name, None)
+        self._reported_usage.pop(instance.name, None)
 
 
-class BucketBank(QuotaLedger):
+class TokenBucketLedger(QuotaLedger):
     """A banker's token bucket, which is empty at the start and lends nothing."""
 
     def __init__(self, bounds: QuotaBounds, now: float, first_loan_request: int = 0) -> None:
         """Begins without credit."""
         super().__init__(bounds, now, first_loan_request)
         self._level = 0.0
-        self._at = now
+        self._filled_at = now
 
     def update(self, parts: Mapping[str, tuple[Quota, QuotaShare]], now: float) -> None:
         """Fills the bucket."""
@@ -131,6 +131,6 @@
         return None
 
     def _fill(self, quota: Quota, part: QuotaShare, now: float) -> None:
-        added = quota.rate * part.share * (now - self._at)
+        added = quota.rate * part.share * (now - self._filled_at)
         self._level = min(quota.burst * part.share, self._level + added)
-        self._at = now
+        self._filled_at = now
