--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_world.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_world.py
@@ -20,42 +20,42 @@
 from wigeonarch_core.teams import Quota, Unit
 
 TEAM: Final = "t"
-STEP: Final = 0.05  # Seconds of the world's clock.
-BEAT: Final = 0.5  # Seconds between heartbeats.
-HEARD: Final = 1.6  # Seconds without one after which an instance is not heard.
-SETTLED: Final = 5.0
-RESTART: Final = 1.2  # Seconds until a killed process serves again.
-LOOK: Final = 0.25
+STEP_SECONDS: Final = 0.05  # Seconds of the world's clock.
+HEARTBEAT_SECONDS: Final = 0.5  # Seconds between heartbeats.
+SILENT_AFTER_SECONDS: Final = 1.6  # Seconds without one after which an instance is not heard.
+SETTLED_AFTER_SECONDS: Final = 5.0
+RESTART_SECONDS: Final = 1.2  # Seconds until a killed process serves again.
+UPDATE_SECONDS: Final = 0.25
 BOUNDS: Final = QuotaBounds(8.0, 0.1, 11_000.0)
-REQUEST: Final = 1_500.0  # Units of a request, about.
-REQUEST_MOST: Final = 4_500.0
+MEAN_REQUEST_UNITS: Final = 1_500.0  # Units of a request, about.
+MAX_REQUEST_UNITS: Final = 4_500.0
 
 
-class Way(Protocol):
+class QuotaScheme(Protocol):
     """How the instances of a world decide on requests together."""
 
-    def take(self, world: World, asker: Instance, cost: float) -> bool:
+    def acquire(self, world: World, requester: Instance, cost: float) -> bool:
         """Tells whether an instance may serve a request of so many units."""
 
-    def beat(self, world: World) -> None:
+    def exchange_heartbeats(self, world: World) -> None:
         """Lets instances tell each other what heartbeats carry for this way."""
 
-    def restarted(self, one: Instance) -> None:
+    def on_restart(self, instance: Instance) -> None:
         """Forgets what a process knew that was killed."""
 
 
-class AskBankers:
+class ZoneCoordinators:
     """Asks the banker of the zone for each request, and its deputy where that does not answer."""
 
-    def take(self, world: World, asker: Instance, cost: float) -> bool:
+    def acquire(self, world: World, requester: Instance, cost: float) -> bool:
         """Asks at most two; a second time where others were asked for a loan."""
-        for name in world.bankers(asker)[:2]:
+        for name in world.coordinators(requester)[:2]:
             banker = world.by_name[name]
             for _ in range(2):
-                if not world.arrives(asker, banker):
+                if not world.deliver(requester, banker):
                     break
-                verdict = world.ask(banker, cost)
-                if not world.arrives(banker, asker):
+                verdict = world.acquire(banker, cost)
+                if not world.deliver(banker, requester):
                     break
                 if verdict.granted:
                     return True
@@ -63,10 +63,10 @@
                     return False
         return False
 
-    def beat(self, world: World) -> None:
+    def exchange_heartbeats(self, world: World) -> None:
         """Heartbeats carry nothing more."""
 
-    def restarted(self, one: Instance) -> None:
+    def on_restart(self, instance: Instance) -> None:
         """The bank of the new process is empty."""
 
 
@@ -76,13 +76,13 @@
 
     name: str
     zone: int
-    bank: QuotaLedger
+    ledger: QuotaLedger
     started: float = -100.0
-    away_until: float = 0.0  # Frozen or not yet started again.
+    down_until: float = 0.0  # Frozen or not yet started again.
     split_until: float = 0.0  # On one side of a cut through its zone.
-    alone_until: float = 0.0
-    heard: dict[str, float] = field(default_factory=dict)
-    told: dict[str, float] = field(default_factory=dict)
+    isolated_until: float = 0.0
+    heard_at: dict[str, float] = field(default_factory=dict)
+    known_starts: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass
@@ -93,102 +93,102 @@
     per_zone: int
     quota: Quota
     seed: int
-    troubles: bool = True
+    random_faults: bool = True
     loss: float = 0.02
-    calling: set[int] | None = None  # Zones whose instances callers reach; all if None.
+    called_zones: set[int] | None = None  # Zones whose instances callers reach; all if None.
     now: float = 0.0
-    given: list[tuple[float, float]] = field(default_factory=list)
-    asked: list[tuple[float, float, bool]] = field(default_factory=list)
+    admitted: list[tuple[float, float]] = field(default_factory=list)
+    requests: list[tuple[float, float, bool]] = field(default_factory=list)
     instances: list[Instance] = field(default_factory=list)
-    cuts: list[tuple[float, int]] = field(default_factory=list)
+    zone_cuts: list[tuple[float, int]] = field(default_factory=list)
     events: list[tuple[float, str]] = field(default_factory=list)
-    bank_made: Callable[[QuotaBounds, float, int], QuotaLedger] = QuotaLedger
+    make_ledger: Callable[[QuotaBounds, float, int], QuotaLedger] = QuotaLedger
     share_of: Callable[[int, int], float] = lambda heard, known: heard / known
-    way: Way = field(default_factory=AskBankers)
+    scheme: QuotaScheme = field(default_factory=ZoneCoordinators)
     messages: int = 0  # Sent for requests, heartbeats not counted.
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         for zone in range(self.zones):
             for number in range(self.per_zone):
-                bank = self.bank_made(BOUNDS, self.now, self.rng.randrange(1 << 30))
+                bank = self.make_ledger(BOUNDS, self.now, self.rng.randrange(1 << 30))
                 self.instances.append(Instance(f"e-{zone}-{number}", zone, bank))
         for one in self.instances:
             for other in self.instances:
-                one.heard[other.name] = 0.0
-                one.told[other.name] = other.started
+                one.heard_at[other.name] = 0.0
+                one.known_starts[other.name] = other.started
         self.by_name = {one.name: one for one in self.instances}
 
     # What instances see.
 
-    def alive(self, one: Instance) -> bool:
+    def is_running(self, one: Instance) -> bool:
         """Tells whether an instance runs."""
-        return self.now >= one.away_until
+        return self.now >= one.down_until
 
-    def cut_off(self, one: Instance) -> int:
+    def partition_side(self, one: Instance) -> int:
         """Returns the side of a cut; each instance that is cut off alone has one of its own."""
-        if self.now < one.alone_until:
+        if self.now < one.isolated_until:
             return 1000 + self.instances.index(one)
         if self.now < one.split_until:
             return 2000 + one.zone
         return next(
-            (zone for until, zone in self.cuts if self.now < until and zone == one.zone), -1
+            (zone for until, zone in self.zone_cuts if self.now < until and zone == one.zone), -1
         )
 
-    def reach(self, one: Instance, other: Instance) -> bool:
+    def can_reach(self, one: Instance, other: Instance) -> bool:
         """Tells whether two instances run and no cut lies between them."""
-        if not (self.alive(one) and self.alive(other)):
+        if not (self.is_running(one) and self.is_running(other)):
             return False
-        return one is other or self.cut_off(one) == self.cut_off(other)
+        return one is other or self.partition_side(one) == self.partition_side(other)
 
-    def arrives(self, one: Instance, other: Instance) -> bool:
+    def deliver(self, one: Instance, other: Instance) -> bool:
         """Sends a message; tells whether it arrives."""
         self.messages += one is not other
-        return self.reach(one, other) and (one is other or self.rng.random() >= self.loss)
+        return self.can_reach(one, other) and (one is other or self.rng.random() >= self.loss)
 
-    def in_zone(self, one: Instance) -> list[str]:
+    def reachable_in_zone(self, one: Instance) -> list[str]:
         """Returns the instances of the own zone that are heard, this one included."""
         nearby = [other for other in self.instances if other.zone == one.zone]
-        lately = self.now - HEARD
-        return [o.name for o in nearby if o is one or one.heard.get(o.name, -1e9) > lately]
+        lately = self.now - SILENT_AFTER_SECONDS
+        return [o.name for o in nearby if o is one or one.heard_at.get(o.name, -1e9) > lately]
 
-    def bankers(self, one: Instance) -> list[str]:
+    def coordinators(self, one: Instance) -> list[str]:
         """Returns who is banker of the zone as an instance sees it, then the deputies."""
-        names = self.in_zone(one)
-        latest = self.now - SETTLED
-        settled = [name for name in names if one.told.get(name, one.started) <= latest]
+        names = self.reachable_in_zone(one)
+        latest = self.now - SETTLED_AFTER_SECONDS
+        settled = [name for name in names if one.known_starts.get(name, one.started) <= latest]
         return ranked(TEAM, sorted(settled or names))
 
     def part(self, one: Instance) -> QuotaShare:
         """Returns what an instance may give by its own view."""
-        share = self.share_of(len(self.in_zone(one)), self.per_zone) / self.zones
-        return QuotaShare(share, self.bankers(one)[0] == one.name)
+        share = self.share_of(len(self.reachable_in_zone(one)), self.per_zone) / self.zones
+        return QuotaShare(share, self.coordinators(one)[0] == one.name)
 
     # What they do.
 
-    def request(self) -> None:
+    def send_request(self) -> None:
         """One request at an instance that lives."""
-        zones = self.calling if self.calling is not None else range(self.zones)
-        alive = [one for one in self.instances if self.alive(one) and one.zone in zones]
+        zones = self.called_zones if self.called_zones is not None else range(self.zones)
+        alive = [one for one in self.instances if self.is_running(one) and one.zone in zones]
         if not alive:
             return
         asker = self.rng.choice(alive)
-        cost = min(REQUEST_MOST, self.rng.expovariate(1.0 / REQUEST) + 100.0)
-        granted = self.way.take(self, asker, cost)
-        self.asked.append((self.now, cost, granted))
+        cost = min(MAX_REQUEST_UNITS, self.rng.expovariate(1.0 / MEAN_REQUEST_UNITS) + 100.0)
+        granted = self.scheme.acquire(self, asker, cost)
+        self.requests.append((self.now, cost, granted))
         if granted:
-            self.given.append((self.now, cost))
+            self.admitted.append((self.now, cost))
 
-    def ask(self, banker: Instance, cost: float) -> AcquireResult:
+    def acquire(self, coordinator: Instance, cost: float) -> AcquireResult:
         """Returns a banker's verdict; one that is short asks other zones for a loan."""
-        part = self.part(banker)
-        verdict = banker.bank.acquire(TEAM, self.quota, part, cost, self.now)
-        plea = banker.bank.request_loan(TEAM, self.quota, part, self.now)
+        part = self.part(coordinator)
+        verdict = coordinator.ledger.acquire(TEAM, self.quota, part, cost, self.now)
+        plea = coordinator.ledger.request_loan(TEAM, self.quota, part, self.now)
         if plea is None:
             return verdict
         for zone in range(self.zones):
-            if zone != banker.zone:
-                self.plead(banker, zone, plea.number, plea.wanted / (self.zones - 1))
+            if zone != coordinator.zone:
+                self.request_loan(coordinator, zone, plea.number, plea.wanted / (self.zones - 1))
         return AcquireResult(
             verdict.granted,
             verdict.wait,
@@ -197,38 +197,38 @@
             loan_requested=True,
         )
 
-    def plead(self, borrower: Instance, zone: int, number: int, wanted: float) -> None:
+    def request_loan(self, borrower: Instance, zone: int, number: int, wanted: float) -> None:
         """Asks another zone for a loan, by any instance of it."""
         first = self.rng.choice([one for one in self.instances if one.zone == zone])
-        if not self.arrives(borrower, first):
+        if not self.deliver(borrower, first):
             return
-        lender = self.by_name[self.bankers(first)[0]]
-        if not self.arrives(first, lender):
+        lender = self.by_name[self.coordinators(first)[0]]
+        if not self.deliver(first, lender):
             return
-        units = lender.bank.lend(TEAM, self.quota, self.part(lender), wanted, self.now)
+        units = lender.ledger.lend(TEAM, self.quota, self.part(lender), wanted, self.now)
         for _ in range(1 + (self.rng.random() < self.loss)):  # A datagram may come twice.
-            if units > 0.0 and self.arrives(lender, borrower):
-                borrower.bank.accept_loan(TEAM, number, lender.name, units, self.now)
+            if units > 0.0 and self.deliver(lender, borrower):
+                borrower.ledger.accept_loan(TEAM, number, lender.name, units, self.now)
 
-    def beat(self) -> None:
+    def exchange_heartbeats(self) -> None:
         """Lets all instances hear of those in reach."""
         for one in self.instances:
             for other in self.instances:
-                if one is other or one.zone != other.zone or not self.reach(one, other):
+                if one is other or one.zone != other.zone or not self.can_reach(one, other):
                     continue
-                one.heard[other.name] = self.now
-                one.told[other.name] = other.started
-        self.way.beat(self)
+                one.heard_at[other.name] = self.now
+                one.known_starts[other.name] = other.started
+        self.scheme.exchange_heartbeats(self)
 
     def kill(self, one: Instance) -> None:
         """Kills a process, which begins anew and knows nobody."""
-        one.away_until = self.now + RESTART + self.rng.uniform(0.0, 0.5)
-        one.started = one.away_until
-        one.bank = self.bank_made(BOUNDS, one.away_until, self.rng.randrange(1 << 30))
-        one.heard, one.told = {}, {one.name: one.started}
-        self.way.restarted(one)
+        one.down_until = self.now + RESTART_SECONDS + self.rng.uniform(0.0, 0.5)
+        one.started = one.down_until
+        one.ledger = self.make_ledger(BOUNDS, one.down_until, self.rng.randrange(1 << 30))
+        one.heard_at, one.known_starts = {}, {one.name: one.started}
+        self.scheme.on_restart(one)
 
-    def trouble(self) -> None:
+    def inject_random_fault(self) -> None:
         """One of the things that happen to instances."""
         rng, some = self.rng, self.instances
         what = rng.choice(["kill", "half", "all", "zone_killed", "freeze", "cut", "alone", "split"])
@@ -242,18 +242,18 @@
                     self.kill(one)
         elif what == "freeze":
             for one in rng.sample(some, max(1, len(some) // 5)):
-                one.away_until = max(one.away_until, self.now + rng.uniform(2.0, 5.0))
+                one.down_until = max(one.down_until, self.now + rng.uniform(2.0, 5.0))
         elif what == "cut":
-            self.cuts.append((self.now + rng.uniform(3.0, 12.0), rng.randrange(self.zones)))
+            self.zone_cuts.append((self.now + rng.uniform(3.0, 12.0), rng.randrange(self.zones)))
         elif what == "split":
             until, zone = self.now + rng.uniform(4.0, 12.0), rng.randrange(self.zones)
             for one in [one for one in some if one.zone == zone][::2]:
                 one.split_until = until
         else:
             for one in rng.sample(some, max(1, len(some) // 6)):
-                one.alone_until = self.now + rng.uniform(3.0, 9.0)
+                one.isolated_until = self.now + rng.uniform(3.0, 9.0)
 
-    def play(self, until: float, rate: Callable[[float], float]) -> None:
+    def run(self, until: float, rate: Callable[[float], float]) -> None:
         """Plays on.
 
         Args:
@@ -264,28 +264,28 @@
         next_trouble = self.now + 6.0
         due = 0.0
         while self.now < until:
-            self.now += STEP
+            self.now += STEP_SECONDS
             if self.now >= next_beat:
-                next_beat += BEAT
-                self.beat()
+                next_beat += HEARTBEAT_SECONDS
+                self.exchange_heartbeats()
             if self.now >= next_look:
-                next_look += LOOK
+                next_look += UPDATE_SECONDS
                 for one in self.instances:
-                    if self.alive(one):
-                        one.bank.update({TEAM: (self.quota, self.part(one))}, self.now)
-            if self.troubles and self.now >= next_trouble:
+                    if self.is_running(one):
+                        one.ledger.update({TEAM: (self.quota, self.part(one))}, self.now)
+            if self.random_faults and self.now >= next_trouble:
                 next_trouble = self.now + self.rng.expovariate(1.0 / 2.5)
-                self.trouble()
-            due += rate(self.now) * STEP / REQUEST
+                self.inject_random_fault()
+            due += rate(self.now) * STEP_SECONDS / MEAN_REQUEST_UNITS
             while due >= 1.0:
                 due -= 1.0
-                self.request()
+                self.send_request()
 
-    def worst(self, since: float = 0.0) -> float:
+    def worst_window(self, since: float = 0.0) -> float:
         """Returns the most that any window held, as a part of what the quota's rule allows."""
         window: deque[tuple[float, float]] = deque()
         held = worst = 0.0
-        for at, cost in self.given:
+        for at, cost in self.admitted:
             if at < since:
                 continue
             window.append((at, cost))
@@ -297,7 +297,9 @@
 
     def goodput(self) -> float:
         """Returns the part of the units asked for that was given."""
-        return sum(cost for _, cost, ok in self.asked if ok) / sum(c for _, c, _ in self.asked)
+        return sum(cost for _, cost, ok in self.requests if ok) / sum(
+            c for _, c, _ in self.requests
+        )
 
 
 def quota(rate: float, burst: float | None = None) -> Quota:
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/service.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/service.py
@@ -72,7 +72,7 @@
         self.runs: list[Run] = []
         self.not_run: Counter[str] = Counter()
         self._started = time.monotonic()
-        self._actions = {
+        self._fault_handlers = {
             "close_before": _drop,
             "lose_answers": _drop,
             "swallow": serving.never_answer,
@@ -129,10 +129,10 @@
         before = self._take_fault(BEFORE_FAULTS)
         if before:
             self.not_run[before] += 1
-            return await self._actions[before](request)
+            return await self._fault_handlers[before](request)
         run = await self._run(request, body)
         after = self._take_fault(AFTER_FAULTS)
-        return await self._actions[after](request) if after else self._answer(run)
+        return await self._fault_handlers[after](request) if after else self._answer(run)
 
     async def _run(self, request: web.Request, body: object) -> Run:
         headers = request.headers
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/serving.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/serving.py
@@ -14,8 +14,8 @@
 from aiohttp import web
 
 HOST: Final = "127.0.0.1"
-SHUTDOWN_S: Final = 0.05
-HANG_POLL_S: Final = 0.05
+SHUTDOWN_TIMEOUT_S: Final = 0.05
+DISCONNECT_POLL_S: Final = 0.05
 MAX_BODY_BYTES: Final = 64 * 1024 * 1024
 CONTROL_PREFIX: Final = "/_control/"
 
@@ -50,7 +50,7 @@
 
 async def start_app(app: web.Application, port: int) -> Server:
     """Serve the application on a loopback port; port 0 takes any free one."""
-    runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_S)
+    runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
     await runner.setup()
     site = web.TCPSite(runner, HOST, port, backlog=1024)
     await site.start()
@@ -86,7 +86,7 @@
     return json_response(document, status, headers)
 
 
-def is_closed(request: web.Request) -> bool:
+def is_disconnected(request: web.Request) -> bool:
     """Say whether the caller's connection is gone."""
     return request.transport is None or request.transport.is_closing()
 
@@ -100,8 +100,8 @@
 
 async def never_answer(request: web.Request) -> web.Response:
     """Hold the request without an answer until the caller goes away."""
-    while not is_closed(request):  # noqa: ASYNC110 - a transport has no event to wait for
-        await asyncio.sleep(HANG_POLL_S)
+    while not is_disconnected(request):  # noqa: ASYNC110 - a transport has no event to wait for
+        await asyncio.sleep(DISCONNECT_POLL_S)
     return web.Response(status=500)
 
 
@@ -144,21 +144,21 @@
 class TokenBucket:
     """A token bucket that holds at most one second's worth of tokens."""
 
-    __slots__ = ("_filled", "_rate", "_tokens")
+    __slots__ = ("_rate", "_refilled_at", "_tokens")
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
         self._tokens = max(rate, 1.0)
-        self._filled = time.monotonic()
+        self._refilled_at = time.monotonic()
 
     def take(self) -> float:
         """Take one token; return 0, or the seconds until there is one."""
         if self._rate <= 0:
             return 0.0
         now = time.monotonic()
-        grown = self._tokens + (now - self._filled) * self._rate
+        grown = self._tokens + (now - self._refilled_at) * self._rate
         self._tokens = min(max(self._rate, 1.0), grown)
-        self._filled = now
+        self._refilled_at = now
         if self._tokens < 1.0:
             return (1.0 - self._tokens) / self._rate
         self._tokens -= 1.0
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/slopes.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/slopes.py
@@ -19,14 +19,15 @@
 import msgspec
 import numpy as np
 
-from wigeonarch_fakes import load, setting_up, usage
+from wigeonarch_fakes import catalogue_setup as setting_up
+from wigeonarch_fakes import load, usage
 from wigeonarch_fakes.procbench import SERVICE, run_load
 from wigeonarch_fakes.processes import Deployment, call, deployment
 
 ZONE: Final = "zone-a"
-SETTLE: Final = 8.0
-WINDOW: Final = 10.0
-WRITES: Final = ("PUT", "DELETE")
+SETTLE_SECONDS: Final = 8.0
+WINDOW_SECONDS: Final = 10.0
+WRITE_METHODS: Final = ("PUT", "DELETE")
 ENGINE_ARGS: Final = ("--slots", "8", "--max-batch", "64", "--base-ms", "20", "--load-ms", "20")
 
 
@@ -69,7 +70,7 @@
 FIGURES: Final = tuple(name for name in Point.__struct_fields__ if name != "size")
 
 
-def fit(points: Sequence[Point], figure: str) -> Line:
+def fit_line(points: Sequence[Point], figure: str) -> Line:
     """Fits a line to one figure of the points, by least squares."""
     sizes = np.array([point.size for point in points])
     values = np.array([getattr(point, figure) for point in points])
@@ -80,18 +81,20 @@
     return Line(float(at_zero), float(per_unit), r2)
 
 
-def observe(dep: Deployment, size: float, work: Callable[[], object] | None = None) -> Point:
+def measure_window(
+    dep: Deployment, size: float, workload: Callable[[], object] | None = None
+) -> Point:
     """Reads what the entry instances use over a window, while `work` runs or nothing does."""
-    time.sleep(SETTLE)  # Start-up costs are over by then; they are not part of a slope.
+    time.sleep(SETTLE_SECONDS)  # Start-up costs are over by then; they are not part of a slope.
     first = _platform_calls(dep)
-    before = _entries(dep)
+    before = _read_entry_usage(dep)
     begin = time.monotonic()
-    if work is not None:
-        work()
+    if workload is not None:
+        workload()
     # Costs are counted over a whole window, also when the work ends before it.
-    time.sleep(max(0.0, begin + WINDOW - time.monotonic()))  # What is left of the window.
+    time.sleep(max(0.0, begin + WINDOW_SECONDS - time.monotonic()))  # What is left of the window.
     seconds = time.monotonic() - begin
-    after = _entries(dep)
+    after = _read_entry_usage(dep)
     last = _platform_calls(dep)
     spent = [after[name].since(before[name]) for name in after]
     return Point(
@@ -116,33 +119,34 @@
     return usage.mean(each.total(prefix) for each in spent) / seconds
 
 
-def _entries(dep: Deployment) -> dict[str, usage.Usage]:
+def _read_entry_usage(dep: Deployment) -> dict[str, usage.Usage]:
     return {
-        name: usage.read(dep.programs[name].process.pid, dep.address(name)) for name in dep.entries
+        name: usage.read_usage(dep.programs[name].process.pid, dep.address(name))
+        for name in dep.entries
     }
 
 
 def _platform_calls(dep: Deployment) -> dict[str, float]:
     """Returns the platform stand-in's own counts: writes, reads and waiting watches."""
-    record = dep.record("platform")
+    record = dep.read_record("platform")
     totals = {"writes": 0.0, "reads": 0.0, "watches": float(record["waiting_watches"])}
     for name, count in record["calls"].items():
         method = name.partition(" ")[0]
         if method != "WATCH":
-            totals["writes" if method in WRITES else "reads"] += count
+            totals["writes" if method in WRITE_METHODS else "reads"] += count
     return totals
 
 
-def _entries_in_zone(dep: Deployment, count: int) -> None:
+def _start_entries(dep: Deployment, count: int) -> None:
     names = [f"entry-{number}" for number in range(count)]
     for name in names:
-        dep.entry(name, ZONE, log_level="WARNING")
-    dep.ready(*names)
+        dep.start_entry(name, ZONE, log_level="WARNING")
+    dep.wait_ready(*names)
 
 
-def _engines(dep: Deployment, count: int) -> None:
+def _start_engines(dep: Deployment, count: int) -> None:
     platform = dep.address("platform")
-    dep.fake(
+    dep.start_stand_in(
         "many",
         "engines",
         *("--platform", platform, "--zones", ZONE, "--service", SERVICE),
@@ -150,83 +154,83 @@
     )
 
 
-def instances(dep: Deployment, size: int) -> Point:
+def measure_instances(dep: Deployment, size: int) -> Point:
     """Varies the entry instances of one zone."""
-    _entries_in_zone(dep, size)
-    return observe(dep, size)
+    _start_entries(dep, size)
+    return measure_window(dep, size)
 
 
-def engines(dep: Deployment, size: int) -> Point:
+def measure_engines(dep: Deployment, size: int) -> Point:
     """Varies the engines that one instance owns."""
-    _engines(dep, size)
-    _entries_in_zone(dep, 1)
-    return observe(dep, size)
+    _start_engines(dep, size)
+    _start_entries(dep, 1)
+    return measure_window(dep, size)
 
 
-def adapters(dep: Deployment, size: int) -> Point:
+def measure_adapters(dep: Deployment, size: int) -> Point:
     """Varies the adapters in the catalogue, each with one version and a rule."""
-    _entries_in_zone(dep, 1)
+    _start_entries(dep, 1)
     server = dep.entries["entry-0"]["rpc"]
-    setting_up.set_up(server, SERVICE, size)
-    return observe(dep, size)
+    setting_up.create_model_service(server, SERVICE, size)
+    return measure_window(dep, size)
 
 
-def requests(dep: Deployment, size: int) -> Point:
+def measure_requests(dep: Deployment, size: int) -> Point:
     """Varies the requests a second at one instance, of 20 tokens each."""
-    _engines(dep, 4)
-    _entries_in_zone(dep, 1)
-    setting_up.set_up(dep.entries["entry-0"]["rpc"], SERVICE, 4)
+    _start_engines(dep, 4)
+    _start_entries(dep, 1)
+    setting_up.create_model_service(dep.entries["entry-0"]["rpc"], SERVICE, 4)
     doors = (dep.address("entry-0"),)
     warm = load.Plan(targets=doors, adapters=4, rate=5.0, seconds=4.0, tokens=2)
     run_load(warm)
-    plan = load.Plan(targets=doors, adapters=4, rate=size, seconds=WINDOW, tokens=20)
-    return observe(dep, size, lambda: run_load(plan))
+    plan = load.Plan(targets=doors, adapters=4, rate=size, seconds=WINDOW_SECONDS, tokens=20)
+    return measure_window(dep, size, lambda: run_load(plan))
 
 
-def paced(rate: float) -> Iterator[int]:
+def paced_calls(rate: float) -> Iterator[int]:
     """Yields the numbers of the calls of one window, each at its time; `rate` is calls a second."""
     begin = time.monotonic()
-    for number in range(int(rate * WINDOW)):
+    for number in range(int(rate * WINDOW_SECONDS)):
         time.sleep(max(0.0, begin + number / rate - time.monotonic()))  # Until the call is due.
         yield number
 
 
-def keyed_calls(dep: Deployment, size: int) -> Point:
+def measure_keyed_calls(dep: Deployment, size: int) -> Point:
     """Varies the non-idempotent calls a second at one instance."""
-    dep.endpoint("service", "orders-1", ZONE, "orders")
-    _entries_in_zone(dep, 1)
-    assert dep.ctl("entry-0", "service", "create", "orders", "--kind", "plain")[0] == 0
+    dep.start_endpoint("service", "orders-1", ZONE, "orders")
+    _start_entries(dep, 1)
+    assert dep.run_ctl("entry-0", "service", "create", "orders", "--kind", "plain")[0] == 0
     url = f"{dep.address('entry-0')}/v1/services/orders/confirm"
 
     def work() -> None:
-        for number in paced(size):
+        for number in paced_calls(size):
             call("POST", url, {}, {"Idempotency-Key": f"key-{number}"})
 
-    return observe(dep, size, work)
+    return measure_window(dep, size, work)
 
 
-def changes(dep: Deployment, size: float) -> Point:
+def measure_changes(dep: Deployment, size: float) -> Point:
     """Varies the changes of configuration a second, with four instances."""
-    _entries_in_zone(dep, 4)
+    _start_entries(dep, 4)
     server = dep.entries["entry-0"]["rpc"]
-    setting_up.set_up(server, SERVICE, 1)
+    setting_up.create_model_service(server, SERVICE, 1)
 
     def work() -> None:
-        for number in paced(size):
-            setting_up.run_mutations(
+        for number in paced_calls(size):
+            setting_up.apply_mutations_blocking(
                 server, setting_up.adapter_with_rule(SERVICE, f"new{number}")[:1]
             )
 
-    return observe(dep, size, work)
+    return measure_window(dep, size, work)
 
 
 SWEEPS: Final[dict[str, tuple[Callable[[Deployment, Any], Point], tuple[float, ...]]]] = {
-    "instances": (instances, (1, 4, 8, 16)),
-    "engines": (engines, (1, 8, 16, 32)),
-    "adapters": (adapters, (100, 500, 1000, 2000)),
-    "requests": (requests, (5, 20, 40, 80)),
-    "keyed_calls": (keyed_calls, (5, 20, 40)),
-    "changes": (changes, (0.5, 1, 2, 4)),
+    "instances": (measure_instances, (1, 4, 8, 16)),
+    "engines": (measure_engines, (1, 8, 16, 32)),
+    "adapters": (measure_adapters, (100, 500, 1000, 2000)),
+    "requests": (measure_requests, (5, 20, 40, 80)),
+    "keyed_calls": (measure_keyed_calls, (5, 20, 40)),
+    "changes": (measure_changes, (0.5, 1, 2, 4)),
 }
 
 
@@ -236,9 +240,9 @@
     points = []
     for size in sizes:
         with tempfile.TemporaryDirectory() as folder, deployment(Path(folder)) as dep:
-            dep.platform()
+            dep.start_platform()
             points.append(measure(dep, size))
-    lines = {figure: msgspec.to_builtins(fit(points, figure)) for figure in FIGURES}
+    lines = {figure: msgspec.to_builtins(fit_line(points, figure)) for figure in FIGURES}
     return {"points": msgspec.to_builtins(points), "lines": lines}
 
 
@@ -258,7 +262,7 @@
     parser.add_argument("--only", default=",".join(SWEEPS), help="comma-separated sweeps")
     parser.add_argument("--out", type=Path, default=Path("bench/results/slopes.json"))
     args = parser.parse_args()
-    document: dict[str, Any] = {"window_s": WINDOW, "sweeps": {}}
+    document: dict[str, Any] = {"window_s": WINDOW_SECONDS, "sweeps": {}}
     if args.out.exists():
         document["sweeps"] = json.loads(args.out.read_text())["sweeps"]
     for name in args.only.split(","):
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/storms.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/storms.py
@@ -17,18 +17,19 @@
 from pathlib import Path
 from typing import Any, Final
 
-from wigeonarch_fakes import load, setting_up
+from wigeonarch_fakes import catalogue_setup as setting_up
+from wigeonarch_fakes import load
 from wigeonarch_fakes.procbench import SERVICE, run_load
 from wigeonarch_fakes.processes import Deployment, deployment
 
 ZONES: Final = ("zone-a", "zone-b", "zone-c")
-PER_ZONE: Final = 8
-OUTAGE: Final = 20.0
-SETTLE: Final = 5.0
+INSTANCES_PER_ZONE: Final = 8
+OUTAGE_SECONDS: Final = 20.0
+SETTLE_SECONDS: Final = 5.0
 ENGINE_ARGS: Final = ("--slots", "4", "--max-batch", "64", "--base-ms", "20", "--load-ms", "300")
 
 
-class Peak:
+class PeakSampler:
     """The greatest number of platform calls in a second, sampled while a storm goes on."""
 
     __slots__ = ("_dep", "_ended", "_thread", "calls_per_s")
@@ -57,16 +58,16 @@
             last_time, last = now, calls
 
     def _calls(self) -> float:
-        counted = self._dep.record("platform")["calls"]
+        counted = self._dep.read_record("platform")["calls"]
         return float(sum(counted.values()))
 
 
 @contextmanager
-def standing(instances: int) -> Iterator[tuple[Deployment, list[str]]]:
+def running_deployment(instances: int) -> Iterator[tuple[Deployment, list[str]]]:
     """Gives a deployment of three zones with `instances` entry instances in each."""
     with tempfile.TemporaryDirectory() as folder, deployment(Path(folder)) as dep:
-        platform = dep.platform()
-        dep.fake(
+        platform = dep.start_platform()
+        dep.start_stand_in(
             "many",
             "engines",
             *("--platform", platform.address, "--zones", ",".join(ZONES)),
@@ -74,26 +75,26 @@
         )
         names = [f"{zone}-{number}" for zone in ZONES for number in range(instances)]
         for name in names:
-            dep.entry(name, name.rpartition("-")[0], log_level="WARNING")
-        dep.ready(*names)
-        setting_up.set_up(dep.entries[names[0]]["rpc"], SERVICE, 24)
-        time.sleep(SETTLE)  # What starting up costs is no part of a storm.
+            dep.start_entry(name, name.rpartition("-")[0], log_level="WARNING")
+        dep.wait_ready(*names)
+        setting_up.create_model_service(dep.entries[names[0]]["rpc"], SERVICE, 24)
+        time.sleep(SETTLE_SECONDS)  # What starting up costs is no part of a storm.
         yield dep, names
 
 
-def measured(dep: Deployment, names: list[str], event: Callable[[], None]) -> dict[str, Any]:
+def measure_event(dep: Deployment, names: list[str], event: Callable[[], None]) -> dict[str, Any]:
     """Brings an event about; returns the quiet rate, the peak, and the time until all are ready."""
-    quiet = Peak(dep)
+    quiet = PeakSampler(dep)
     quiet.start()
-    time.sleep(SETTLE)  # The quiet rate is sampled meanwhile.
+    time.sleep(SETTLE_SECONDS)  # The quiet rate is sampled meanwhile.
     quiet_peak = quiet.stop()
-    peak = Peak(dep)
+    peak = PeakSampler(dep)
     peak.start()
     begin = time.monotonic()
     event()
-    dep.ready(*names)
+    dep.wait_ready(*names)
     ready_s = time.monotonic() - begin
-    time.sleep(SETTLE)  # The peak may come after all are ready again; it is sampled on.
+    time.sleep(SETTLE_SECONDS)  # The peak may come after all are ready again; it is sampled on.
     return {
         "instances": len(names),
         "quiet_calls_per_s": round(quiet_peak, 1),
@@ -102,9 +103,9 @@
     }
 
 
-def zone_replaced() -> dict[str, Any]:
+def replace_zone() -> dict[str, Any]:
     """All instances of one zone are killed and started again at once."""
-    with standing(PER_ZONE) as (dep, names):
+    with running_deployment(INSTANCES_PER_ZONE) as (dep, names):
         zone = [name for name in names if name.startswith(ZONES[0])]
 
         def event() -> None:
@@ -113,52 +114,52 @@
             for name in zone:
                 dep.restart_entry(name)
 
-        return measured(dep, names, event)
+        return measure_event(dep, names, event)
 
 
-def platform_back() -> dict[str, Any]:
+def end_platform_outage() -> dict[str, Any]:
     """The platform is away for a while; every instance comes back to it."""
-    with standing(PER_ZONE) as (dep, names):
+    with running_deployment(INSTANCES_PER_ZONE) as (dep, names):
 
         def event() -> None:
-            dep.faults("platform", down=True)
-            time.sleep(OUTAGE)  # The length of the outage is what is brought about.
-            dep.faults("platform", down=False)
+            dep.set_faults("platform", down=True)
+            time.sleep(OUTAGE_SECONDS)  # The length of the outage is what is brought about.
+            dep.set_faults("platform", down=False)
 
-        return measured(dep, names, event)
+        return measure_event(dep, names, event)
 
 
-def rolling() -> dict[str, Any]:
+def replace_one_by_one() -> dict[str, Any]:
     """Instances are replaced gracefully one after the other, as 72 a day are, but without pause."""
-    with standing(4) as (dep, names):
+    with running_deployment(4) as (dep, names):
 
         def event() -> None:
             for name in names:
                 dep.programs[name].stop()
                 dep.restart_entry(name)
-                dep.ready(name)
+                dep.wait_ready(name)
 
-        return measured(dep, names, event)
+        return measure_event(dep, names, event)
 
 
-def wake_up() -> dict[str, Any]:
+def wake_adapters() -> dict[str, Any]:
     """A third of the adapters becomes busy at once, with a load on all doors."""
-    with standing(2) as (dep, names):
+    with running_deployment(2) as (dep, names):
         doors = tuple(dep.address(name) for name in names)
         plan = load.Plan(targets=doors, adapters=24, skew=0.0, rate=20.0, seconds=20.0, tokens=10)
         ends: dict[str, int] = {}
 
         def event() -> None:
-            ends.update(run_load(plan).ends)
+            ends.update(run_load(plan).outcomes)
 
-        return measured(dep, names, event) | {"ends": ends}
+        return measure_event(dep, names, event) | {"ends": ends}
 
 
 STORMS: Final = {
-    "zone_replaced": zone_replaced,
-    "platform_back": platform_back,
-    "rolling": rolling,
-    "wake_up": wake_up,
+    "zone_replaced": replace_zone,
+    "platform_back": end_platform_outage,
+    "rolling": replace_one_by_one,
+    "wake_up": wake_adapters,
 }
 
 
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/usage.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/usage.py
@@ -9,7 +9,7 @@
 import psutil
 from prometheus_client.parser import text_string_to_metric_families
 
-TIMEOUT = 10.0
+METRICS_TIMEOUT_S = 10.0
 MIB = 1024.0 * 1024.0
 
 
@@ -38,17 +38,17 @@
         return sum(value for name, value in self.counters.items() if name.startswith(prefix))
 
 
-def read(pid: int, address: str | None = None) -> Usage:
+def read_usage(pid: int, address: str | None = None) -> Usage:
     """Reads what a process has used; with an address, its metrics page as well."""
     process = psutil.Process(pid)
     times = process.cpu_times()
     rss = process.memory_info().rss / MIB
-    return Usage(times.user + times.system, rss, metrics(address) if address else {})
+    return Usage(times.user + times.system, rss, read_metrics(address) if address else {})
 
 
-def metrics(address: str) -> dict[str, float]:
+def read_metrics(address: str) -> dict[str, float]:
     """Returns the counters and gauges of a metrics page."""
-    with urllib.request.urlopen(f"http://{address}/metrics", timeout=TIMEOUT) as resp:
+    with urllib.request.urlopen(f"http://{address}/metrics", timeout=METRICS_TIMEOUT_S) as resp:
         text = resp.read().decode()
     found: dict[str, float] = {}
     for family in text_string_to_metric_families(text):
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/weightstore.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/weightstore.py
@@ -21,7 +21,7 @@
 from wigeonarch_fakes import serving
 
 DEFAULT_BYTES: Final = 1_000_000
-PIECE_S: Final = 0.02
+PIECE_DURATION_S: Final = 0.02
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
@@ -48,11 +48,11 @@
     def __init__(self, rate: float, bytes_per_s: float) -> None:
         self.faults = Faults()
         self.transfers: list[Transfer] = []
-        self.limited = 0
+        self.rate_limited = 0
         self.peak_open = 0
         self._open = 0
         self._bytes_per_s = bytes_per_s
-        self._starts = serving.TokenBucket(rate)
+        self._start_limit = serving.TokenBucket(rate)
 
     def app(self) -> web.Application:
         """Return the application with all routes."""
@@ -70,16 +70,16 @@
         """Return what the weight store really did."""
         return {
             "transfers": self.transfers,
-            "rate_limited": self.limited,
+            "rate_limited": self.rate_limited,
             "open": self._open,
             "peak_open": self.peak_open,
         }
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
         size = max(0, int(request.query.get("bytes", DEFAULT_BYTES)))
-        wait_s = self._starts.take()
+        wait_s = self._start_limit.take()
         if wait_s > 0:
-            self.limited += 1
+            self.rate_limited += 1
             return serving.error_response(429, "rate_limited", retry_after_s=round(wait_s, 3))
         names = request.match_info
         transfer = Transfer(names["adapter"], names["version"], size)
@@ -112,7 +112,7 @@
         due = time.monotonic()
         while transfer.bytes_sent < until:
             share = self._bytes_per_s / self._open / (self.faults.slow_factor or 1.0)
-            piece = min(until - transfer.bytes_sent, max(1, int(share * PIECE_S)))
+            piece = min(until - transfer.bytes_sent, max(1, int(share * PIECE_DURATION_S)))
             due += piece / share
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             await response.write(bytes(piece))
--- a/tests/deploy_scripts.py
+++ b/tests/deploy_scripts.py
@@ -8,14 +8,14 @@
 from types import ModuleType
 from typing import Final
 
-FOLDER: Final = Path(__file__).parent.parent / "deploy"
+DEPLOY_FOLDER: Final = Path(__file__).parent.parent / "deploy"
 
 
-def load(name: str) -> ModuleType:
+def load_script(name: str) -> ModuleType:
     """Returns a script as a module; scripts that it imports are found as when it is run."""
-    if str(FOLDER) not in sys.path:
-        sys.path.append(str(FOLDER))
-    spec = importlib.util.spec_from_file_location(name, FOLDER / f"{name}.py")
+    if str(DEPLOY_FOLDER) not in sys.path:
+        sys.path.append(str(DEPLOY_FOLDER))
+    spec = importlib.util.spec_from_file_location(name, DEPLOY_FOLDER / f"{name}.py")
     assert spec is not None
     assert spec.loader is not None
     module = importlib.util.module_from_spec(spec)
--- a/tests/gateway_demo.py
+++ b/tests/gateway_demo.py
@@ -28,17 +28,17 @@
 from gateway_world import HOST, configuration, route
 from ports import free_port
 
-WAIT: Final = 20.0  # Seconds within which what a step waits for must be true.
-STEP: Final = 0.05
-ASKED: Final = 12  # Requests of a step that asks for several.
-AWAY: Final = 4.0  # Seconds for which the store does not answer.
+WAIT_SECONDS: Final = 20.0  # Seconds within which what a step waits for must be true.
+POLL_INTERVAL: Final = 0.05
+REQUESTS_PER_STEP: Final = 12  # Requests of a step that asks for several.
+OUTAGE_SECONDS: Final = 4.0  # Seconds for which the store does not answer.
 ENGINES: Final = {"i-llm-a": "a", "i-llm-b": "b"}
-NEXT_ENGINE: Final = "i-llm-a2"  # Takes the place of one that leaves.
+REPLACEMENT_ENGINE: Final = "i-llm-a2"  # Takes the place of one that leaves.
 ZONES: Final = ("a", "a", "b", "b")
 TESTS: Final = Path(__file__).parent
 
 
-class NotShownError(Exception):
+class StepFailedError(Exception):
     """A step did not show what it should."""
 
 
@@ -50,23 +50,23 @@
     log: Path
     process: asyncio.subprocess.Process
 
-    def lines(self) -> list[str]:
+    def log_lines(self) -> list[str]:
         """Returns what it wrote."""
         return self.log.read_text().splitlines()
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Sends it a signal, by its id, if it runs."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
 
 @dataclass
-class Answer:
+class CallerResponse:
     """What a caller got."""
 
     status: int
     body: bytes
-    request: str
+    request_id: str
 
 
 @dataclass
@@ -81,33 +81,35 @@
     session: aiohttp.ClientSession
     programs: dict[str, Program] = field(default_factory=dict)
     records: dict[str, dict[str, Any]] = field(default_factory=dict)
-    fronts: dict[str, str] = field(default_factory=dict)
-    store: str = ""
-    asked: int = 0
+    front_addresses: dict[str, str] = field(default_factory=dict)
+    store_address: str = ""
+    request_count: int = 0
 
     # Processes.
 
     async def start(self) -> None:
         """Starts all processes."""
-        self.store = await self._start_standin("store", "store")
-        await self.write("POST", "config", "main", configuration())
+        self.store_address = await self._start_standin("store", "store")
+        await self.write_object("POST", "config", "main", configuration())
         for name, zone in ENGINES.items():
-            await self.add(name, "llm", zone, "--model", "m")
-        await self.add("i-desk", "desk", "a")
+            await self.add_endpoint(name, "llm", zone, "--model", "m")
+        await self.add_endpoint("i-desk", "desk", "a")
         peer_port = free_port("127.0.0.10", socket.SOCK_DGRAM)
         for number, zone in enumerate(ZONES):
             await self._start_gateway(number, zone, peer_port)
 
     async def _start_standin(self, name: str, *words: str) -> str:
-        program = await self._start(name, {"PYTHONPATH": str(TESTS)}, "-m", "standins", *words)
+        program = await self._start_process(
+            name, {"PYTHONPATH": str(TESTS)}, "-m", "standins", *words
+        )
 
         def ready() -> bool:
-            return any(line.startswith("ready ") for line in program.lines())
+            return any(line.startswith("ready ") for line in program.log_lines())
 
-        await until(ready, f"{name} listens")
-        return program.lines()[0].split()[1]
+        await wait_until(ready, f"{name} listens")
+        return program.log_lines()[0].split()[1]
 
-    async def add(self, name: str, service: str, zone: str, *more: str) -> None:
+    async def add_endpoint(self, name: str, service: str, zone: str, *more: str) -> None:
         """Starts an endpoint and enters it into the store."""
         words = ("--service", service, "--zone", zone, "--name", name, *more)
         address = await self._start_standin(name, "replica", *words)
@@ -120,29 +122,29 @@
             "state": "ready",
             "models": models,
         }
-        await self.write("POST", "servers", name, self.records[name])
+        await self.write_object("POST", "servers", name, self.records[name])
 
     async def _start_gateway(self, number: int, zone: str, peer_port: int) -> None:
         host, name = f"127.0.0.{number + 10}", f"edge-{number}"
-        self.fronts[name] = f"{host}:{free_port(host)}"
+        self.front_addresses[name] = f"{host}:{free_port(host)}"
         pairs = {
             "node_name": name,
             "zone": zone,
             "ip": host,
-            "listen.front": self.fronts[name],
+            "listen.front": self.front_addresses[name],
             "listen.ready": f"{host}:{free_port(host)}",
             "internal_ports": f"{peer_port},{peer_port + 10}",
             "seeds": "127.0.0.10:1,127.0.0.12:1",
             "bounds.grace_s": "6",
             "bounds.lease_ms": "3000",
-            "platform.address": self.store,
+            "platform.address": self.store_address,
         }
         settings = self.folder / f"{name}.conf"
         settings.write_text("\n".join(f"{key}={value}" for key, value in pairs.items()))
         environment = {"WIGEONARCH_NODE_FILE": str(settings)}
-        await self._start(name, environment, "-m", "wigeonarch_platform")
+        await self._start_process(name, environment, "-m", "wigeonarch_platform")
 
-    async def _start(self, name: str, environment: dict[str, str], *words: str) -> Program:
+    async def _start_process(self, name: str, environment: dict[str, str], *words: str) -> Program:
         path = self.folder / f"{name}.log"
         with path.open("ab") as log:
             process = await asyncio.create_subprocess_exec(
@@ -151,88 +153,88 @@
         self.programs[name] = Program(name, path, process)
         return self.programs[name]
 
-    async def stop(self) -> None:
+    async def stop_all(self) -> None:
         """Ends all processes."""
         for program in self.programs.values():
-            program.signal(signal.SIGCONT)
-            program.signal(signal.SIGKILL)
+            program.send_signal(signal.SIGCONT)
+            program.send_signal(signal.SIGKILL)
         await asyncio.gather(*(program.process.wait() for program in self.programs.values()))
 
     # What operators and callers do.
 
-    async def write(
+    async def write_object(
         self, method: str, kind: str, name: str, spec: dict[str, Any] | None = None
     ) -> None:
         """Writes an object to the store, or deletes it."""
         body = json.dumps({"metadata": {"name": name}, "spec": spec})
         tail = "" if method == "POST" else f"/{name}"
-        url = f"http://{self.store}/wigeonarch/objects/{kind}{tail}"
+        url = f"http://{self.store_address}/wigeonarch/objects/{kind}{tail}"
         async with self.session.request(method, url, data=body) as resp:
             if resp.status != 200:
-                raise NotShownError(f"the store answered {resp.status}")
+                raise StepFailedError(f"the store answered {resp.status}")
 
-    async def ask(self, path: str, gateway: str = "", adapter: str = "") -> Answer:
+    async def send_request(self, path: str, gateway: str = "", adapter: str = "") -> CallerResponse:
         """Sends a request to a gateway; to one after the other where none is named."""
-        self.asked += 1
-        request = f"demo-{self.asked}"
+        self.request_count += 1
+        request = f"demo-{self.request_count}"
         headers = {"Host": HOST, "X-Request-Id": request, "X-Deadline-Ms": "8000"}
         if adapter:
             headers |= {"X-Model": f"m/{adapter}", "X-Token-Counts": "100,20"}
-        names = list(self.fronts)
-        front = self.fronts[gateway or names[self.asked % len(names)]]
+        names = list(self.front_addresses)
+        front = self.front_addresses[gateway or names[self.request_count % len(names)]]
         url = f"http://{front}{path}"
         async with self.session.post(url, data=request, headers=headers) as resp:
-            return Answer(resp.status, await resp.read(), request)
+            return CallerResponse(resp.status, await resp.read(), request)
 
-    async def ask_many(self, path: str, adapter: str = "") -> list[Answer]:
+    async def send_requests(self, path: str, adapter: str = "") -> list[CallerResponse]:
         """Sends some requests; all must be answered."""
-        answers = [await self.ask(path, adapter=adapter) for _ in range(ASKED)]
+        answers = [await self.send_request(path, adapter=adapter) for _ in range(REQUESTS_PER_STEP)]
         failed = [answer for answer in answers if answer.status != 200]
-        check(not failed, f"not answered: {failed}")
+        require(not failed, f"not answered: {failed}")
         return answers
 
-    async def served(self, path: str, adapter: str = "") -> None:
+    async def wait_until_served(self, path: str, adapter: str = "") -> None:
         """Waits until each gateway serves a path."""
-        for gateway in self.fronts:
+        for gateway in self.front_addresses:
 
             async def answered(name: str = gateway) -> bool:
                 with contextlib.suppress(aiohttp.ClientError):
-                    return (await self.ask(path, name, adapter)).status == 200
+                    return (await self.send_request(path, name, adapter)).status == 200
                 return False
 
-            await until_answered(answered, f"{gateway} serves {path}")
+            await wait_until_async(answered, f"{gateway} serves {path}")
 
-    def holders(self, engine: str) -> set[str]:
+    def owners(self, engine: str) -> set[str]:
         """Returns the gateways that have taken an engine to order it."""
         claimed = f"endpoint={engine} "
         return {
             name
             for name in self.programs
-            for line in self.programs[name].lines()
+            for line in self.programs[name].log_lines()
             if "event=claim " in line and claimed in line and "result=StoredObject" in line
         }
 
-    def tells(self, gateway: str, endpoint: str, what: str) -> bool:
+    def has_logged(self, gateway: str, endpoint: str, what: str) -> bool:
         """Tells whether a gateway has logged something of an endpoint."""
-        lines = self.programs[gateway].lines()
+        lines = self.programs[gateway].log_lines()
         return any(f"endpoint={endpoint} " in line and what in line for line in lines)
 
-    def runs(self, name: str) -> list[str]:
+    def executed_requests(self, name: str) -> list[str]:
         """Returns the requests that an endpoint ran."""
-        return [line[4:] for line in self.programs[name].lines() if line.startswith("ran ")]
+        return [line[4:] for line in self.programs[name].log_lines() if line.startswith("ran ")]
 
 
-def check(shown: bool, otherwise: str) -> None:
+def require(condition: bool, message: str) -> None:
     """Ends a step that did not show what it should.
 
     Raises:
         NotShownError: It did not.
     """
-    if not shown:
-        raise NotShownError(otherwise)
+    if not condition:
+        raise StepFailedError(message)
 
 
-async def until(condition: Callable[[], bool], what: str) -> None:
+async def wait_until(condition: Callable[[], bool], what: str) -> None:
     """Waits for a condition.
 
     Raises:
@@ -242,19 +244,19 @@
     async def found() -> bool:
         return condition()
 
-    await until_answered(found, what)
+    await wait_until_async(found, what)
 
 
-async def until_answered(condition: Callable[[], Awaitable[bool]], what: str) -> None:
+async def wait_until_async(condition: Callable[[], Awaitable[bool]], what: str) -> None:
     """Waits for a condition that asks somebody.
 
     Raises:
         NotShownError: It was not true in time.
     """
-    end = time.monotonic() + WAIT
+    end = time.monotonic() + WAIT_SECONDS
     while not await condition():
-        check(time.monotonic() < end, f"not within {WAIT:.0f} s: {what}")
-        await asyncio.sleep(STEP)
+        require(time.monotonic() < end, f"not within {WAIT_SECONDS:.0f} s: {what}")
+        await asyncio.sleep(POLL_INTERVAL)
 
 
 # Steps: each returns what was shown and how to see it.
@@ -262,21 +264,21 @@
 
 async def all_serve(demo: Demo) -> tuple[str, str]:
     """Four gateways serve."""
-    await demo.served("/ask/x")
-    front = demo.fronts["edge-0"]
+    await demo.wait_until_served("/ask/x")
+    front = demo.front_addresses["edge-0"]
     return (
-        f"four gateways in two zones serve, each at its own door: {', '.join(demo.fronts)}",
+        f"four gateways in two zones serve, each at its own door: {', '.join(demo.front_addresses)}",
         f"curl -s -H 'Host: {HOST}' -d hello http://{front}/ask/x",
     )
 
 
 async def stream(demo: Demo) -> tuple[str, str]:
     """A stream comes whole."""
-    await demo.served("/write/x", "a1")
-    answer = await demo.ask("/write/x", "edge-3", "a1")
+    await demo.wait_until_served("/write/x", "a1")
+    answer = await demo.send_request("/write/x", "edge-3", "a1")
     pieces = answer.body.count(b"data: ")
-    check(pieces == 6, f"{pieces} pieces of 6")
-    front = demo.fronts["edge-3"]
+    require(pieces == 6, f"{pieces} pieces of 6")
+    front = demo.front_addresses["edge-3"]
     return (
         "an answer streamed by an engine, whole",
         f"curl -sN -H 'Host: {HOST}' -H 'X-Model: m/a1' -d hi http://{front}/write/x",
@@ -285,22 +287,22 @@
 
 async def rare_adapter(demo: Demo) -> tuple[str, str]:
     """An adapter is loaded for the request that names it."""
-    answer = await demo.ask("/write/x", "edge-2", "rare")
-    check(answer.status == 200, f"{answer}")
-    logs = " ".join(str(demo.programs[name].log) for name in demo.fronts)
+    answer = await demo.send_request("/write/x", "edge-2", "rare")
+    require(answer.status == 200, f"{answer}")
+    logs = " ".join(str(demo.programs[name].log) for name in demo.front_addresses)
     return (
         "a request for an adapter that no engine held: it was loaded, then the request ran",
-        f"wigeonctl explain {answer.request} --logs {logs}",
+        f"wigeonctl explain {answer.request_id} --logs {logs}",
     )
 
 
 async def run_once(demo: Demo) -> tuple[str, str]:
     """What may not be repeated ran once."""
-    answers = await demo.ask_many("/book/x")
-    runs = demo.runs("i-desk")
-    check(all(runs.count(answer.request) == 1 for answer in answers), f"{runs}")
+    answers = await demo.send_requests("/book/x")
+    runs = demo.executed_requests("i-desk")
+    require(all(runs.count(answer.request_id) == 1 for answer in answers), f"{runs}")
     return (
-        f"{ASKED} calls that may not be repeated: each ran once",
+        f"{REQUESTS_PER_STEP} calls that may not be repeated: each ran once",
         f"grep ran {demo.programs['i-desk'].log}",
     )
 
@@ -308,38 +310,44 @@
 async def engine_leaves(demo: Demo) -> tuple[str, str]:
     """An engine that leaves gets nothing more."""
     leaving = "i-llm-a"
-    await demo.write("PUT", "servers", leaving, {**demo.records[leaving], "state": "draining"})
+    await demo.write_object(
+        "PUT", "servers", leaving, {**demo.records[leaving], "state": "draining"}
+    )
 
     async def unused() -> bool:
-        before = len(demo.runs(leaving))
-        await demo.ask_many("/write/x", "a1")
-        return len(demo.runs(leaving)) == before
-
-    await until(
-        lambda: all(demo.tells(name, leaving, "state=leaving") for name in demo.fronts),
+        before = len(demo.executed_requests(leaving))
+        await demo.send_requests("/write/x", "a1")
+        return len(demo.executed_requests(leaving)) == before
+
+    await wait_until(
+        lambda: all(
+            demo.has_logged(name, leaving, "state=leaving") for name in demo.front_addresses
+        ),
         f"all gateways know that {leaving} leaves",
     )
-    await until_answered(unused, f"{leaving} gets no request")
-    demo.programs[leaving].signal(signal.SIGTERM)
-    await demo.write("DELETE", "servers", leaving)
-    await demo.add(NEXT_ENGINE, "llm", "a", "--model", "m")
-    await until(lambda: bool(demo.holders(NEXT_ENGINE)), f"somebody orders {NEXT_ENGINE}")
+    await wait_until_async(unused, f"{leaving} gets no request")
+    demo.programs[leaving].send_signal(signal.SIGTERM)
+    await demo.write_object("DELETE", "servers", leaving)
+    await demo.add_endpoint(REPLACEMENT_ENGINE, "llm", "a", "--model", "m")
+    await wait_until(
+        lambda: bool(demo.owners(REPLACEMENT_ENGINE)), f"somebody orders {REPLACEMENT_ENGINE}"
+    )
     return (
-        f"{leaving} said that it leaves: the other engine ran all, {NEXT_ENGINE} took its place",
+        f"{leaving} said that it leaves: the other engine ran all, {REPLACEMENT_ENGINE} took its place",
         f"grep endpoint_state {demo.programs['edge-0'].log}",
     )
 
 
 async def gateway_killed(demo: Demo) -> tuple[str, str]:
     """The others go on, and load adapters as before."""
-    engine = NEXT_ENGINE
-    killed = next(iter(demo.holders(engine)))
-    demo.programs[killed].signal(signal.SIGKILL)
+    engine = REPLACEMENT_ENGINE
+    killed = next(iter(demo.owners(engine)))
+    demo.programs[killed].send_signal(signal.SIGKILL)
     await demo.programs[killed].process.wait()
-    del demo.fronts[killed]
-    await demo.ask_many("/ask/x")
-    await until(lambda: bool(demo.holders(engine) - {killed}), f"another one orders {engine}")
-    await demo.served("/write/x", "after-the-kill")
+    del demo.front_addresses[killed]
+    await demo.send_requests("/ask/x")
+    await wait_until(lambda: bool(demo.owners(engine) - {killed}), f"another one orders {engine}")
+    await demo.wait_until_served("/write/x", "after-the-kill")
     return (
         f"{killed}, which ordered {engine}, was killed: the others answer all, one took it over",
         f"grep -h claim {demo.folder}/edge-*.log",
@@ -348,19 +356,19 @@
 
 async def store_away(demo: Demo) -> tuple[str, str]:
     """Requests are served while the store does not answer."""
-    asked = demo.asked
-    demo.programs["store"].signal(signal.SIGSTOP)
+    asked = demo.request_count
+    demo.programs["store"].send_signal(signal.SIGSTOP)
     try:
-        end = time.monotonic() + AWAY
+        end = time.monotonic() + OUTAGE_SECONDS
         while time.monotonic() < end:
-            await demo.ask_many("/ask/x")
-            await demo.ask_many("/write/x", "a1")
-        answer = await demo.ask("/write/x", adapter="during-the-outage")
-        check(answer.status == 200, f"{answer}")
+            await demo.send_requests("/ask/x")
+            await demo.send_requests("/write/x", "a1")
+        answer = await demo.send_request("/write/x", adapter="during-the-outage")
+        require(answer.status == 200, f"{answer}")
     finally:
-        demo.programs["store"].signal(signal.SIGCONT)
+        demo.programs["store"].send_signal(signal.SIGCONT)
     return (
-        f"the store was silent for {AWAY:.0f} s: all of {demo.asked - asked} requests were "
+        f"the store was silent for {OUTAGE_SECONDS:.0f} s: all of {demo.request_count - asked} requests were "
         "answered meanwhile, one with an adapter that had to be loaded",
         f"grep -ho 'store_away=[A-Za-z]*' {demo.folder}/edge-*.log",
     )
@@ -370,8 +378,8 @@
     """A new route is served everywhere."""
     new = configuration(2, route("news", "idempotent", "desk"))
     begun = time.monotonic()
-    await demo.write("PUT", "config", "main", new)
-    await demo.served("/news/x")
+    await demo.write_object("PUT", "config", "main", new)
+    await demo.wait_until_served("/news/x")
     took = time.monotonic() - begun
     return (
         f"a configuration with a new route: served by all gateways within {took:.1f} s",
@@ -393,19 +401,19 @@
 
 
 @contextlib.asynccontextmanager
-async def running(folder: Path) -> AsyncIterator[Demo]:
+async def running_demo(folder: Path) -> AsyncIterator[Demo]:
     """Starts the deployment, with its logs in a folder, and ends it."""
-    timeout = aiohttp.ClientTimeout(total=WAIT)
+    timeout = aiohttp.ClientTimeout(total=WAIT_SECONDS)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         demo = Demo(folder, session)
         try:
             await demo.start()
             yield demo
         finally:
-            await demo.stop()
+            await demo.stop_all()
 
 
-async def interrupted() -> None:
+async def wait_for_signal() -> None:
     """Waits until somebody ends the demo."""
     asked = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -414,21 +422,21 @@
     await asked.wait()
 
 
-async def show(keep: bool) -> int:
+async def run_steps(keep: bool) -> int:
     """Runs the steps; returns the exit code."""
     with tempfile.TemporaryDirectory(prefix="wigeonarch-demo-") as folder:
-        async with running(Path(folder)) as demo:
+        async with running_demo(Path(folder)) as demo:
             for number, step in enumerate(STEPS, 1):
                 try:
                     shown, how = await step(demo)
-                except NotShownError as exc:
+                except StepFailedError as exc:
                     print(f"{number}. {step.__name__}: NOT SHOWN: {exc}", flush=True)
                     return 1
                 print(f"{number}. {shown}\n     {how}", flush=True)
             print("all shown")
             if keep:
                 print("Ctrl-C ends it", flush=True)
-                await interrupted()
+                await wait_for_signal()
             else:
                 print("with KEEP=--keep all runs on, so that the commands can be tried")
     return 0
@@ -438,7 +446,7 @@
     """Runs the demo."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--keep", action="store_true", help="leave all running until Ctrl-C")
-    return asyncio.run(show(parser.parse_args().keep))
+    return asyncio.run(run_steps(parser.parse_args().keep))
 
 
 if __name__ == "__main__":
--- a/tests/gateway_slopes.py
+++ b/tests/gateway_slopes.py
@@ -24,8 +24,8 @@
 from wigeonarch_gateway.options import LeaseOptions, StoreOptions
 from wigeonarch_gateway.peer_socket import PeerSocket
 
-SETTLE: Final = 12.0  # Seconds until engines are held and all have heard each other.
-MEASURE: Final = 8.0  # Seconds.
+SETTLE_SECONDS: Final = 12.0  # Seconds until engines are held and all have heard each other.
+MEASURE_SECONDS: Final = 8.0  # Seconds.
 
 
 async def measure(gateways: int, engines: int) -> str:
@@ -50,10 +50,10 @@
         await found.add_replica(Replica("llm", model="m", name=f"i-{number}"))
     for number in range(gateways):
         await found.add_node(number)
-    await asyncio.sleep(SETTLE)
+    await asyncio.sleep(SETTLE_SECONDS)
     began, used, calls = time.monotonic(), time.process_time(), len(store.calls)
     sent[:] = [0, 0]
-    await asyncio.sleep(MEASURE)
+    await asyncio.sleep(MEASURE_SECONDS)
     spent = time.monotonic() - began
     cpu = (time.process_time() - used) / spent / gateways
     line = (
--- a/tests/mechanisms.py
+++ b/tests/mechanisms.py
@@ -17,10 +17,10 @@
 class Mechanism:
     """One mechanism, the text whose replacement removes it, and the case that fails without it."""
 
-    line: int
+    invariant: int
     module: str
     text: str
-    without: str
+    replacement: str
     case: str
 
 
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -13,16 +13,16 @@
 from collections.abc import Iterator
 from typing import Final
 
-FIRST: Final = 10_000
-SYSTEM_FIRST: Final = 32_768  # From here on the system chooses ports itself.
-PARTS: Final = 32  # Test processes that run side by side have ids close to each other.
-PART_SIZE: Final = (SYSTEM_FIRST - FIRST) // PARTS
+FIRST_PORT: Final = 10_000
+FIRST_EPHEMERAL_PORT: Final = 32_768  # From here on the system chooses ports itself.
+RANGE_COUNT: Final = 32  # Test processes that run side by side have ids close to each other.
+RANGE_SIZE: Final = (FIRST_EPHEMERAL_PORT - FIRST_PORT) // RANGE_COUNT
 
 
-def part_of(process: int) -> range:
+def port_range(process_id: int) -> range:
     """Returns the ports of a test process, given its id."""
-    start = FIRST + process % PARTS * PART_SIZE
-    return range(start, start + PART_SIZE)
+    start = FIRST_PORT + process_id % RANGE_COUNT * RANGE_SIZE
+    return range(start, start + RANGE_SIZE)
 
 
 def free_ports(ports: Iterator[int], host: str, kind: socket.SocketKind) -> Iterator[int]:
@@ -36,12 +36,12 @@
         yield port
 
 
-_mine: Final = itertools.cycle(part_of(os.getpid()))
+_own_ports: Final = itertools.cycle(port_range(os.getpid()))
 
 
 def free_port(host: str, kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
     """Returns a port that nothing listens on; for messages between gateways, of datagrams."""
-    candidates = itertools.islice(_mine, PART_SIZE)
+    candidates = itertools.islice(_own_ports, RANGE_SIZE)
     port = next(free_ports(candidates, host, kind), None)
     assert port is not None, "all ports of this process are in use"
     return port
--- a/tests/scenario/faults.py
+++ b/tests/scenario/faults.py
@@ -15,7 +15,7 @@
     lists = {"blocked_callers"}
     doc = {k: v.split(",") if k in lists and isinstance(v, str) else v for k, v in faults.items()}
     for name in world.names(names):
-        world.dep.faults(name, **doc)
+        world.dep.set_faults(name, **doc)
 
 
 def leaving(world: World, names: str, by: str) -> None:
--- a/tests/scenario/operators.py
+++ b/tests/scenario/operators.py
@@ -22,7 +22,7 @@
     advice: list[str] = []
     console = commands.Console(
         output=render.JSON,
-        show=render.make_show(render.JSON, printed.append),
+        show=render.make_printer(render.JSON, printed.append),
         write=printed.append,
         advise=advice.append,
     )
--- a/tests/scenario/probes.py
+++ b/tests/scenario/probes.py
@@ -136,7 +136,7 @@
     for name in world.names(names):
         if name not in world.dep.programs or not running(world, name):
             continue
-        record = world.dep.record(name)
+        record = world.dep.read_record(name)
         for item in record.get("dispatches", []):
             runs[item["dispatch"].partition(".")[0]] += item["times_begun"]
         for item in record.get("runs", []):
@@ -154,13 +154,13 @@
 
 def record(world: World, names: str, path: str) -> Any:
     """Returns the number at a path of a stand-in's record; the sum for several stand-ins."""
-    values = [at_path(world.dep.record(name), path) or 0 for name in world.names(names)]
+    values = [at_path(world.dep.read_record(name), path) or 0 for name in world.names(names)]
     return values[0] if len(values) == 1 else sum(values)
 
 
 def count(world: World, names: str, path: str, **wanted: Any) -> int:
     """Counts the items of a list in stand-ins' records that have these values."""
-    items = [i for n in world.names(names) for i in at_path(world.dep.record(n), path) or []]
+    items = [i for n in world.names(names) for i in at_path(world.dep.read_record(n), path) or []]
     return len([item for item in items if matches(item, wanted)])
 
 
--- a/tests/scenario/programs.py
+++ b/tests/scenario/programs.py
@@ -29,7 +29,7 @@
         _start_entry(world, name, zone, options)
         return
     if role == PLATFORM:
-        world.dep.fake(PLATFORM, name, *_arguments(options))
+        world.dep.start_stand_in(PLATFORM, name, *_arguments(options))
         return
     assert role in STAND_INS, f"no role {role!r}"
     world.starting.append(world.pool.submit(_start_stand_in, world, role, name, zone, options))
@@ -48,12 +48,12 @@
         platform = world.network.link(f"{PLATFORM}<{name}", platform)
     doc |= {"platform": [platform], "source": host, "peer": peer}
     doc |= {"http": f"{host}:{HTTP_PORT}", "rpc": f"{host}:{RPC_PORT}"}
-    world.dep.entry(name, zone, **doc)
+    world.dep.start_entry(name, zone, **doc)
 
 
 def _start_stand_in(world: World, role: str, name: str, zone: str, options: dict[str, Any]) -> None:
     service = options.pop("service", "")
-    program = world.dep.fake(role, name, *_arguments(options))
+    program = world.dep.start_stand_in(role, name, *_arguments(options))
     if role == "weightstore":
         return
     address = world.network.link(name, program.address) if world.linked else program.address
@@ -80,7 +80,7 @@
 
 def ready(world: World, names: str = "entries") -> None:
     """Waits until instances are ready; all instances by default."""
-    world.dep.ready(*world.names(names))
+    world.dep.wait_ready(*world.names(names))
 
 
 def kill(world: World, names: str) -> None:
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -30,23 +30,23 @@
 import aiohttp
 from gateway_world import HOST, configuration
 from ports import free_port
-from soak_endpoints import FATAL, Needs
-from soak_teams import CALM, SETTINGS, Teams
-from standins.proxy import Proxy, Way
+from soak_endpoints import FATAL_BODY, EndpointChecks
+from soak_teams import SETTINGS, UNLIMITED_TEAM, Teams
+from standins.proxy import ConnectionMode, Proxy
 from standins.replica import Replica
-from standins.replica import Trouble as ReplicaTrouble
+from standins.replica import ReplicaFault as ReplicaTrouble
+from standins.store import StoreFault as StoreTrouble
 from standins.store import StoreStandIn
-from standins.store import Trouble as StoreTrouble
 
-PROMISES = {408, 421, 429, 503}
+NOT_EXECUTED_STATUSES = {408, 421, 429, 503}
 STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 7))
 # What operators demand between the orders of two holders, in seconds.
-TURN = 3.0
-FIRST_START = 1000  # Start of the endpoints' first incarnations, where these say it.
-FOREIGN = [None, 7, "text", {}, {"state": "ready"}, {"service": "llm", "address": 5}]
+MIN_OWNER_CHANGE_SECONDS = 3.0
+FIRST_INCARNATION = 1000  # Start of the endpoints' first incarnations, where these say it.
+FOREIGN_ENTRIES = [None, 7, "text", {}, {"state": "ready"}, {"service": "llm", "address": 5}]
 QUIET_SECONDS = 12.0  # Seconds after the last fault until all gateways must serve; leases take 9.
-ENGINE_TROUBLES = [ReplicaTrouble.CUT, ReplicaTrouble.RESET, ReplicaTrouble.SHED]
-PLAIN_TROUBLES = [trouble for trouble in ReplicaTrouble if trouble is not ReplicaTrouble.NONE]
+ENGINE_FAULTS = [ReplicaTrouble.CUT, ReplicaTrouble.RESET, ReplicaTrouble.SHED]
+PLAIN_SERVICE_FAULTS = [trouble for trouble in ReplicaTrouble if trouble is not ReplicaTrouble.NONE]
 
 
 @dataclass
@@ -54,7 +54,7 @@
     """One gateway process and what it needs to be started again."""
 
     number: int
-    front: str
+    front_address: str
     settings: Path
     process: asyncio.subprocess.Process | None = None
 
@@ -68,14 +68,14 @@
                 sys.executable, "-m", "wigeonarch_platform", env=env, stdout=log, stderr=log
             )
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Sends a signal to this process, by its id, if it runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
 
 @dataclass
-class Seen:
+class CallerResponse:
     """What a caller got for a request; status 0 is no answer."""
 
     path: str
@@ -94,41 +94,41 @@
     proxy: Proxy = field(default_factory=Proxy)
     gateways: list[Gateway] = field(default_factory=list)
     replicas: list[Replica] = field(default_factory=list)
-    answers: dict[str, Seen] = field(default_factory=dict)
-    happened: list[str] = field(default_factory=list)
+    responses: dict[str, CallerResponse] = field(default_factory=dict)
+    injected_faults: list[str] = field(default_factory=list)
     stopping: bool = False
-    version: int = 1
+    configuration_version: int = 1
     all_faults: bool = False
     teams: Teams | None = None
-    needs: Needs | None = None
+    endpoint_checks: EndpointChecks | None = None
 
     async def start(self, gateways: int) -> None:
         """Starts stand-ins and processes."""
         await self.store.start()
         await self.proxy.start(self.store.address)
-        await self._configure()
+        await self._write_configuration()
         for number in range(3):
-            await self._add(Replica("llm", model="m", name=f"i-llm{number}", load_time=0.1))
+            await self._add_replica(Replica("llm", model="m", name=f"i-llm{number}", load_time=0.1))
         for number in range(2):
-            await self._add(Replica("desk", name=f"i-desk{number}"))
-        if self.needs is not None:
-            self.needs.prepare(self.replicas, self._enter)
+            await self._add_replica(Replica("desk", name=f"i-desk{number}"))
+        if self.endpoint_checks is not None:
+            self.endpoint_checks.prepare(self.replicas, self._write_entry)
         peer_port = free_port("127.0.0.10", socket.SOCK_DGRAM)
         for number in range(gateways):
-            gateway = self._gateway(number, peer_port)
+            gateway = self._make_gateway(number, peer_port)
             self.gateways.append(gateway)
             await gateway.start()
 
-    async def _add(self, replica: Replica) -> None:
+    async def _add_replica(self, replica: Replica) -> None:
         await replica.start()
-        replica.born = FIRST_START
+        replica.incarnation = FIRST_INCARNATION
         self.replicas.append(replica)
-        await self._enter(replica)
+        await self._write_entry(replica)
 
-    async def _enter(self, replica: Replica) -> None:
+    async def _write_entry(self, replica: Replica) -> None:
         await self.store.put("servers", replica.name, replica.record())
 
-    def _gateway(self, number: int, peer_port: int) -> Gateway:
+    def _make_gateway(self, number: int, peer_port: int) -> Gateway:
         host = f"127.0.0.{number + 10}"
         front = f"{host}:{free_port(host)}"
         pairs = {
@@ -140,7 +140,7 @@
             "internal_ports": f"{peer_port},{peer_port + 10}",
             "seeds": "127.0.0.10:1,127.0.0.11:1",
             "bounds.grace_s": "6",
-            "bounds.lease_ms": str(int(TURN * 1000)),
+            "bounds.lease_ms": str(int(MIN_OWNER_CHANGE_SECONDS * 1000)),
             "platform.address": self.proxy.address,
             **({} if self.teams is None else SETTINGS),
         }
@@ -150,7 +150,7 @@
 
     # Callers.
 
-    async def call(self, caller: int) -> None:
+    async def send_requests(self, caller: int) -> None:
         """Sends requests on kept connections until the soak ends."""
         rng = random.Random(f"{self.rng.random()}-{caller}")
         number = 0
@@ -158,20 +158,22 @@
             while not self.stopping:
                 number += 1
                 path = rng.choice(["/ask/x", "/book/x", "/write/x", "/draft/x"])
-                await self._ask(session, f"c{caller}-{number}", path, rng)
+                await self._send_request(session, f"c{caller}-{number}", path, rng)
                 await asyncio.sleep(rng.uniform(0.0, 0.05))
 
-    async def call_fatal(self) -> None:
+    async def send_fatal_requests(self) -> None:
         """Comes back with the request that ends engines until the soak ends."""
         rng = random.Random(self.rng.random())
         number = 0
         async with aiohttp.ClientSession(auto_decompress=False) as session:
             while not self.stopping:
                 number += 1
-                await self._ask(session, f"fatal-{number}", "/write/x", rng, body=FATAL)
+                await self._send_request(
+                    session, f"fatal-{number}", "/write/x", rng, body=FATAL_BODY
+                )
                 await asyncio.sleep(rng.uniform(0.1, 0.6))
 
-    async def _ask(
+    async def _send_request(
         self,
         session: aiohttp.ClientSession,
         request: str,
@@ -194,7 +196,7 @@
             async with (
                 asyncio.timeout(6),
                 session.post(
-                    f"http://{gateway.front}{path}",
+                    f"http://{gateway.front_address}{path}",
                     data=body or request.encode(),
                     headers=headers,
                 ) as resp,
@@ -205,23 +207,23 @@
                 complete = True
         except (aiohttp.ClientError, TimeoutError, OSError):
             pass
-        self.answers[request] = Seen(path, status, b"".join(parts), complete)
+        self.responses[request] = CallerResponse(path, status, b"".join(parts), complete)
 
     # Faults.
 
-    async def trouble(self, seconds: float) -> None:
+    async def inject_faults(self, seconds: float) -> None:
         """Brings faults about, in series and overlapping, until the time is over."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
         while loop.time() < end:
             fault = self.rng.choice(self._faults())
-            self.happened.append(fault.__name__)
+            self.injected_faults.append(fault.__name__)
             running.add(asyncio.create_task(fault()))  # type: ignore[arg-type]
             await asyncio.sleep(self.rng.uniform(0.1, 1.2))
         await asyncio.gather(*running)
-        self.store.trouble = StoreTrouble.NONE
-        self.proxy.way = Way.OPEN
+        self.store.fault = StoreTrouble.NONE
+        self.proxy.mode = ConnectionMode.OPEN
 
     def _faults(self) -> list[Callable[[], Awaitable[None]]]:
         return [
@@ -238,122 +240,126 @@
             self.new_configuration,
             self.leave,
             *([self.restart, self.foreign] if self.all_faults else []),
-            *([self.older_store, self.rest] if self.needs is not None else []),
+            *([self.older_store, self.rest] if self.endpoint_checks is not None else []),
         ]
 
     async def kill(self) -> None:
         """Kills a process and starts it again."""
         gateway = self.rng.choice(self.gateways)
         begin = time.monotonic()
-        gateway.signal(signal.SIGKILL)
-        await self._again(gateway, begin)
+        gateway.send_signal(signal.SIGKILL)
+        await self._start_again(gateway, begin)
 
     async def stop(self) -> None:
         """Stops a process in order and starts it again."""
         gateway = self.rng.choice(self.gateways)
         begin = time.monotonic()
-        gateway.signal(signal.SIGTERM)
-        await self._again(gateway, begin)
+        gateway.send_signal(signal.SIGTERM)
+        await self._start_again(gateway, begin)
 
-    async def _again(self, gateway: Gateway, begin: float) -> None:
+    async def _start_again(self, gateway: Gateway, begin: float) -> None:
         if gateway.process is not None:
             await gateway.process.wait()
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         await gateway.start()
-        self._disturbed([gateway], begin)
+        self._note_disturbance([gateway], begin)
 
-    def _disturbed(self, gateways: list[Gateway], begin: float) -> None:
-        if self.needs is not None:
+    def _note_disturbance(self, gateways: list[Gateway], begin: float) -> None:
+        if self.endpoint_checks is not None:
             for gateway in gateways:
-                self.needs.note(gateway.front.partition(":")[0], begin)
+                self.endpoint_checks.note_disturbance(
+                    gateway.front_address.partition(":")[0], begin
+                )
 
     async def pause(self) -> None:
         """Lets a process stand still."""
         gateway = self.rng.choice(self.gateways)
         begin = time.monotonic()
-        gateway.signal(signal.SIGSTOP)
+        gateway.send_signal(signal.SIGSTOP)
         await asyncio.sleep(self.rng.uniform(0.2, 6.0))
-        gateway.signal(signal.SIGCONT)
-        self._disturbed([gateway], begin)
+        gateway.send_signal(signal.SIGCONT)
+        self._note_disturbance([gateway], begin)
 
     async def reload(self) -> None:
         """Says that the settings have changed."""
-        self.rng.choice(self.gateways).signal(signal.SIGHUP)
+        self.rng.choice(self.gateways).send_signal(signal.SIGHUP)
 
     async def store_trouble(self) -> None:
         """Lets the store fail its callers."""
-        self.store.trouble = self.rng.choice(list(StoreTrouble))
+        self.store.fault = self.rng.choice(list(StoreTrouble))
         await asyncio.sleep(self.rng.uniform(0.5, 5.0))
-        self.store.trouble = StoreTrouble.NONE
+        self.store.fault = StoreTrouble.NONE
 
     async def store_history(self) -> None:
         """Drops the store's history."""
-        await self.store.forget_history()
+        await self.store.compact_history()
 
     async def older_store(self) -> None:
         """Lets the store be away for a moment and come back as it was some seconds before."""
         self.store.take_copy()
         await asyncio.sleep(self.rng.uniform(0.5, 5.0))
-        self.proxy.way = Way.RESET
+        self.proxy.mode = ConnectionMode.RESET
         begin = time.monotonic()
         await asyncio.sleep(self.rng.uniform(0.1, 2.0))
-        await self.store.come_back_older()
-        self.proxy.way = Way.OPEN
-        self._disturbed(self.gateways, begin)
+        await self.store.restore_copy()
+        self.proxy.mode = ConnectionMode.OPEN
+        self._note_disturbance(self.gateways, begin)
         # What the operator and the endpoints wrote since is written again.
         await asyncio.sleep(self.rng.uniform(0.0, 1.5))
-        await self._configure()
+        await self._write_configuration()
         for replica in self.replicas:
             if not replica.leaving:
-                await self._enter(replica)
+                await self._write_entry(replica)
 
     async def rest(self) -> None:
         """Lets an endpoint turn all away and ask each for rest."""
         replica = self.rng.choice(self.replicas)
-        replica.rest = str(self.rng.choice((1, 2.5)))
-        replica.trouble = ReplicaTrouble.SHED
+        replica.retry_after = str(self.rng.choice((1, 2.5)))
+        replica.fault = ReplicaTrouble.SHED
         await asyncio.sleep(self.rng.uniform(0.5, 4.0))
-        replica.trouble = ReplicaTrouble.NONE
-        replica.rest = ""
+        replica.fault = ReplicaTrouble.NONE
+        replica.retry_after = ""
 
     async def store_way(self) -> None:
         """Delays, resets, silences or cuts one way the connections to the store."""
-        self.proxy.way = self.rng.choice(list(Way))
+        self.proxy.mode = self.rng.choice(list(ConnectionMode))
         await asyncio.sleep(self.rng.uniform(0.3, 3.0))
-        self.proxy.way = Way.OPEN
+        self.proxy.mode = ConnectionMode.OPEN
 
     async def replica_trouble(self) -> None:
         """Lets an endpoint spoil its answers."""
         replica = self.rng.choice(self.replicas)
-        replica.trouble = self.rng.choice(ENGINE_TROUBLES if replica.model else PLAIN_TROUBLES)
+        replica.fault = self.rng.choice(ENGINE_FAULTS if replica.model else PLAIN_SERVICE_FAULTS)
         await asyncio.sleep(self.rng.uniform(0.3, 2.0))
-        replica.trouble = ReplicaTrouble.NONE
+        replica.fault = ReplicaTrouble.NONE
 
     async def late_orders(self) -> None:
         """Lets an engine carry orders out late, without an answer."""
         replica = self.rng.choice([one for one in self.replicas if one.model])
-        replica.late_orders = True
+        replica.delays_orders = True
         await asyncio.sleep(self.rng.uniform(0.3, 2.0))
-        replica.late_orders = False
+        replica.delays_orders = False
 
     async def new_version(self) -> None:
         """Names a new version of an adapter."""
         name = f"a{self.rng.randrange(1, 6)}"
         for replica in self.replicas:
-            replica.newest[name] = replica.newest.get(name, 1) + 1
-        spec = {"model": "m", "adapter": name, "version": self.replicas[0].newest[name]}
+            replica.newest_versions[name] = replica.newest_versions.get(name, 1) + 1
+        spec = {"model": "m", "adapter": name, "version": self.replicas[0].newest_versions[name]}
         await self.store.put("versions", f"m.{name}", spec)
 
     async def new_configuration(self) -> None:
         """Writes the next version of the configuration."""
-        self.version += self.rng.randrange(1, 4)
+        self.configuration_version += self.rng.randrange(1, 4)
         if self.teams is not None:
-            self.teams.change_keys()
-        await self._configure()
+            self.teams.rotate_keys()
+        await self._write_configuration()
 
-    async def _configure(self) -> None:
-        teams = None if self.teams is None else self.teams.listed()
-        await self.store.put("config", "main", configuration(self.version, teams=teams))
+    async def _write_configuration(self) -> None:
+        teams = None if self.teams is None else self.teams.configuration_entries()
+        await self.store.put(
+            "config", "main", configuration(self.configuration_version, teams=teams)
+        )
 
     async def leave(self) -> None:
         """Lets an endpoint say that it leaves, and come back as another one later.
@@ -361,7 +367,7 @@
         Where it also says so in its answers, its entry may say it late, or never.
         """
         replica = self.rng.choice(self.replicas)
-        if self.needs is not None:
+        if self.endpoint_checks is not None:
             replica.leaving = True
             await asyncio.sleep(self.rng.uniform(0.0, 4.0))
         await self.store.put("servers", replica.name, replica.record("draining"))
@@ -379,7 +385,7 @@
 
     async def foreign(self) -> None:
         """Lets somebody else write into the store, over an endpoint's entry and beside it."""
-        replica, spec = self.rng.choice(self.replicas), self.rng.choice(FOREIGN)
+        replica, spec = self.rng.choice(self.replicas), self.rng.choice(FOREIGN_ENTRIES)
         for kind, name in (("servers", replica.name), ("servers", "i-x"), ("versions", "m.a1")):
             await self.store.put(kind, name, spec)
         await asyncio.sleep(self.rng.uniform(0.2, 2.0))
@@ -387,7 +393,7 @@
 
     # Promises.
 
-    async def serving_again(self) -> list[str]:
+    async def check_recovery(self) -> list[str]:
         """Returns what does not serve although all faults are over."""
         await asyncio.sleep(QUIET_SECONDS)
         broken = []
@@ -401,31 +407,35 @@
     async def _serves(self, session: aiohttp.ClientSession, gateway: Gateway, path: str) -> bool:
         for attempt in range(40):
             request = f"end-{gateway.number}-{path[1]}-{attempt}"
-            await self._ask(session, request, path, random.Random(request), gateway, CALM)
-            if self.answers[request].status == 200:
+            await self._send_request(
+                session, request, path, random.Random(request), gateway, UNLIMITED_TEAM
+            )
+            if self.responses[request].status == 200:
                 return True
             await asyncio.sleep(0.25)
         return False
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Returns the promises that were broken, by what callers and endpoints saw."""
-        runs = Counter(one.headers.get("x-request-id", "") for r in self.replicas for one in r.ran)
-        found = [f"UNASKED: {request} ran" for request in runs if request not in self.answers]
-        for request, seen in self.answers.items():
-            found += self._broken_answer(request, seen, runs[request])
+        runs = Counter(
+            one.headers.get("x-request-id", "") for r in self.replicas for one in r.executed
+        )
+        found = [f"UNASKED: {request} ran" for request in runs if request not in self.responses]
+        for request, seen in self.responses.items():
+            found += self._response_violations(request, seen, runs[request])
         for replica in self.replicas:
-            found += _broken_orders(replica)
+            found += _order_violations(replica)
         if self.teams is not None:
-            found += self.teams.broken(self.replicas, self.folder)
-        if self.needs is not None:
-            found += self.needs.broken(self.replicas)
+            found += self.teams.violations(self.replicas, self.folder)
+        if self.endpoint_checks is not None:
+            found += self.endpoint_checks.violations(self.replicas)
         return found
 
-    def _broken_answer(self, request: str, seen: Seen, runs: int) -> list[str]:
+    def _response_violations(self, request: str, seen: CallerResponse, runs: int) -> list[str]:
         found = []
         if seen.path in ("/book/x", "/write/x") and runs > 1:
             found.append(f"TWICE: {request} ran {runs} times")
-        if seen.path in ("/book/x", "/write/x") and seen.status in PROMISES and runs:
+        if seen.path in ("/book/x", "/write/x") and seen.status in NOT_EXECUTED_STATUSES and runs:
             found.append(f"REFUSED: {request} got {seen.status} and ran")
         if seen.status != 200 or not seen.complete:
             return found
@@ -436,12 +446,12 @@
             found.append(f"MIXED: {request} got {seen.body[:60]!r}")
         return found
 
-    async def end(self) -> None:
+    async def stop_all(self) -> None:
         """Ends the processes that were started here, by their ids."""
         self.stopping = True
         for gateway in self.gateways:
-            gateway.signal(signal.SIGCONT)
-            gateway.signal(signal.SIGKILL)
+            gateway.send_signal(signal.SIGCONT)
+            gateway.send_signal(signal.SIGKILL)
             if gateway.process is not None:
                 await gateway.process.wait()
         for replica in self.replicas:
@@ -450,16 +460,16 @@
         await self.store.stop()
 
 
-def _broken_orders(replica: Replica) -> list[str]:
+def _order_violations(replica: Replica) -> list[str]:
     """Returns the rules of orders that were broken at an engine."""
     found = []
-    if replica.overfilled:
-        found.append(f"LIMIT: {replica.name} was overfilled {replica.overfilled} times")
+    if replica.overfill_count:
+        found.append(f"LIMIT: {replica.name} was overfilled {replica.overfill_count} times")
     last: tuple[float, str, int] | None = None
     for at, holder, fence in replica.order_arrivals:
         if last is not None and fence < last[2]:
             found.append(f"ONE: {replica.name} got fence {fence} after {last[2]}")
-        if last is not None and holder != last[1] and at - last[0] < TURN:
+        if last is not None and holder != last[1] and at - last[0] < MIN_OWNER_CHANGE_SECONDS:
             found.append(f"ONE: {replica.name} got orders of {last[1]} and {holder}")
         if last is not None and holder != last[1] and fence == last[2]:
             found.append(f"ONE: {replica.name} got fence {fence} from two holders")
@@ -474,30 +484,30 @@
     callers: int,
     all_faults: bool = False,
     teams: bool = False,
-    needs: bool = False,
+    endpoint_checks: bool = False,
 ) -> tuple[Soak, list[str]]:
     """Plays one seed; returns the soak and the promises that were broken."""
     with tempfile.TemporaryDirectory(prefix="soak-") as name:
         soak = Soak(random.Random(seed), Path(name), all_faults=all_faults)
         soak.teams = Teams(random.Random(seed)) if teams else None
-        soak.needs = Needs(random.Random(seed)) if needs else None
+        soak.endpoint_checks = EndpointChecks(random.Random(seed)) if endpoint_checks else None
         await soak.start(gateways)
-        tasks = [asyncio.create_task(soak.call(number)) for number in range(callers)]
-        if soak.needs is not None:
-            tasks.append(asyncio.create_task(soak.call_fatal()))
-            tasks.append(asyncio.create_task(soak.needs.name_limits(seconds)))
+        tasks = [asyncio.create_task(soak.send_requests(number)) for number in range(callers)]
+        if soak.endpoint_checks is not None:
+            tasks.append(asyncio.create_task(soak.send_fatal_requests()))
+            tasks.append(asyncio.create_task(soak.endpoint_checks.vary_rate_limit(seconds)))
         try:
             await asyncio.sleep(3.0)
-            await soak.trouble(seconds)
-            broken = await soak.serving_again()
+            await soak.inject_faults(seconds)
+            broken = await soak.check_recovery()
             soak.stopping = True
             await asyncio.gather(*tasks)
-            return soak, broken + soak.broken()
+            return soak, broken + soak.violations()
         finally:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            await soak.end()
+            await soak.stop_all()
 
 
 def main() -> int:
@@ -517,9 +527,9 @@
         options = (args.seconds, args.gateways, args.callers)
         played = run(seed, *options, args.all_faults, args.teams, args.needs)
         soak, broken = asyncio.run(played)
-        statuses = Counter(seen.status for seen in soak.answers.values())
-        print(f"seed={seed} requests={len(soak.answers)} statuses={dict(statuses)}", flush=True)
-        print(f"  faults={dict(Counter(soak.happened))}", flush=True)
+        statuses = Counter(seen.status for seen in soak.responses.values())
+        print(f"seed={seed} requests={len(soak.responses)} statuses={dict(statuses)}", flush=True)
+        print(f"  faults={dict(Counter(soak.injected_faults))}", flush=True)
         for line in broken[:20]:
             print(f"  BROKEN {line}", flush=True)
         failed += bool(broken)
--- a/tests/soak_teams.py
+++ b/tests/soak_teams.py
@@ -10,37 +10,37 @@
 from typing import Any, Final
 
 from gateway_world import team
+from standins.replica import ReceivedRequest as Arrival
 from standins.replica import Replica
-from standins.replica import Seen as Arrival
 
-WINDOW: Final = 8.0  # Seconds.
+WINDOW_SECONDS: Final = 8.0  # Seconds.
 OVERSHOOT: Final = 0.1
-SLACK: Final = 1_500.0
-PLAIN_TOKENS: Final = 50  # What a request without token counts counts as.
-TOKENS: Final = 120  # Of a generation.
-CALM: Final = "calm"  # Has no quota, so it must always be served in the end.
-HOT: Final = "hot"
-LIMITS: Final[dict[str, dict[str, Any]]] = {
-    CALM: {},
-    HOT: {
+SLACK_TOKENS: Final = 1_500.0
+TOKENS_PER_PLAIN_REQUEST: Final = 50  # What a request without token counts counts as.
+TOKENS_PER_GENERATION: Final = 120  # Of a generation.
+UNLIMITED_TEAM: Final = "calm"  # Has no quota, so it must always be served in the end.
+OVERLOADED_TEAM: Final = "hot"
+QUOTAS: Final[dict[str, dict[str, Any]]] = {
+    UNLIMITED_TEAM: {},
+    OVERLOADED_TEAM: {
         "unit": "tokens",
-        "plain_tokens": PLAIN_TOKENS,
+        "plain_tokens": TOKENS_PER_PLAIN_REQUEST,
         "rate_per_s": 500,
         "burst": 500,
     },
     "small": {
         "unit": "tokens",
-        "plain_tokens": PLAIN_TOKENS,
+        "plain_tokens": TOKENS_PER_PLAIN_REQUEST,
         "rate_per_s": 100,
         "burst": 200,
     },
 }
-NOBODYS: Final = "key-that-no-configuration-holds"
+UNKNOWN_KEY: Final = "key-that-no-configuration-holds"
 SETTINGS: Final = {
     "zones.a": "r",
-    "bounds.quota_window_s": str(WINDOW),
+    "bounds.quota_window_s": str(WINDOW_SECONDS),
     "bounds.quota_overshoot": str(OVERSHOOT),
-    "bounds.quota_slack": str(SLACK),
+    "bounds.quota_slack": str(SLACK_TOKENS),
 }
 
 
@@ -55,50 +55,53 @@
     """
 
     rng: random.Random
-    keys: dict[str, list[str]] = field(default_factory=dict)
-    made: list[str] = field(default_factory=list)
-    teams: dict[str, str] = field(default_factory=dict)
+    valid_keys: dict[str, list[str]] = field(default_factory=dict)
+    issued_keys: list[str] = field(default_factory=list)
+    team_by_request: dict[str, str] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        for name in LIMITS:
-            self.keys[name] = [self._new_key(name), self._new_key(name)]
+        for name in QUOTAS:
+            self.valid_keys[name] = [self._new_key(name), self._new_key(name)]
 
     def _new_key(self, name: str) -> str:
-        key = f"secret-of-{name}-{len(self.made)}"
-        self.made.append(key)
+        key = f"secret-of-{name}-{len(self.issued_keys)}"
+        self.issued_keys.append(key)
         return key
 
-    def listed(self) -> list[dict[str, Any]]:
+    def configuration_entries(self) -> list[dict[str, Any]]:
         """Returns the teams of the next configuration."""
-        return [team(name, *self.keys[name], **limit) for name, limit in LIMITS.items()]
+        return [team(name, *self.valid_keys[name], **limit) for name, limit in QUOTAS.items()]
 
-    def change_keys(self) -> None:
+    def rotate_keys(self) -> None:
         """Takes a key away from a team that keeps one, and gives it another."""
-        name = self.rng.choice(list(LIMITS))
-        self.keys[name] = [self.keys[name][1], self._new_key(name)]
+        name = self.rng.choice(list(QUOTAS))
+        self.valid_keys[name] = [self.valid_keys[name][1], self._new_key(name)]
 
     def authorize(self, request: str, rng: random.Random, name: str = "") -> dict[str, str]:
         """Returns the headers of a request of some team, or of none."""
         drawn = rng.random()
         if not name and drawn < 0.03:
-            self.teams[request] = ""
-            return {"Authorization": f"Bearer {NOBODYS}", "X-Tenant": CALM}
-        name = name or (HOT if drawn < 0.6 else rng.choice(list(LIMITS)))
-        self.teams[request] = name
-        return {"Authorization": f"Bearer {rng.choice(self.keys[name])}", "X-Tenant": "claimed"}
-
-    def broken(self, replicas: Iterable[Replica], folder: Path) -> list[str]:
+            self.team_by_request[request] = ""
+            return {"Authorization": f"Bearer {UNKNOWN_KEY}", "X-Tenant": UNLIMITED_TEAM}
+        name = name or (OVERLOADED_TEAM if drawn < 0.6 else rng.choice(list(QUOTAS)))
+        self.team_by_request[request] = name
+        return {
+            "Authorization": f"Bearer {rng.choice(self.valid_keys[name])}",
+            "X-Tenant": "claimed",
+        }
+
+    def violations(self, replicas: Iterable[Replica], folder: Path) -> list[str]:
         """Returns the promises that were broken, by what endpoints saw and processes logged."""
-        ran = sorted((one for r in replicas for one in r.ran), key=lambda one: one.at)
-        found = [line for one in ran for line in self._broken_run(one)]
-        for name, limit in LIMITS.items():
+        ran = sorted((one for r in replicas for one in r.executed), key=lambda one: one.at)
+        found = [line for one in ran for line in self._execution_violations(one)]
+        for name, limit in QUOTAS.items():
             if limit:
-                found += self._broken_quota(name, limit, ran)
-        return found + self._told_secrets(folder)
+                found += self._quota_violations(name, limit, ran)
+        return found + self._logged_keys(folder)
 
-    def _broken_run(self, seen: Arrival) -> list[str]:
+    def _execution_violations(self, seen: Arrival) -> list[str]:
         request = seen.headers.get("x-request-id", "")
-        wanted, told = self.teams.get(request, ""), seen.headers.get("x-tenant")
+        wanted, told = self.team_by_request.get(request, ""), seen.headers.get("x-tenant")
         found = []
         if not wanted:
             found.append(f"ROUTE: {request} ran with a key that nobody holds")
@@ -108,26 +111,30 @@
             found.append(f"UNASKED: the key of {request} was passed on")
         return found
 
-    def _broken_quota(self, name: str, limit: dict[str, Any], ran: list[Arrival]) -> list[str]:
-        whole = limit["rate_per_s"] * WINDOW + limit["burst"]
-        most = whole * (1.0 + OVERSHOOT) + SLACK
+    def _quota_violations(self, name: str, limit: dict[str, Any], ran: list[Arrival]) -> list[str]:
+        whole = limit["rate_per_s"] * WINDOW_SECONDS + limit["burst"]
+        most = whole * (1.0 + OVERSHOOT) + SLACK_TOKENS
         window: deque[tuple[float, int]] = deque()
         held = 0
         for seen in ran:
-            if self.teams.get(seen.headers.get("x-request-id", "")) != name:
+            if self.team_by_request.get(seen.headers.get("x-request-id", "")) != name:
                 continue
-            cost = TOKENS if "x-token-counts" in seen.headers else PLAIN_TOKENS
+            cost = (
+                TOKENS_PER_GENERATION
+                if "x-token-counts" in seen.headers
+                else TOKENS_PER_PLAIN_REQUEST
+            )
             window.append((seen.at, cost))
             held += cost
-            while window[0][0] <= seen.at - WINDOW:
+            while window[0][0] <= seen.at - WINDOW_SECONDS:
                 held -= window.popleft()[1]
             if held > most:
-                return [f"QUOTA: {held} tokens of {name} in {WINDOW} s, allowed {most:.0f}"]
+                return [f"QUOTA: {held} tokens of {name} in {WINDOW_SECONDS} s, allowed {most:.0f}"]
         return []
 
-    def _told_secrets(self, folder: Path) -> list[str]:
+    def _logged_keys(self, folder: Path) -> list[str]:
         found = []
         for path in sorted(folder.glob("*.log")):
             text = path.read_text(errors="replace")
-            found += [f"SECRET: {key} in {path.name}" for key in self.made if key in text]
+            found += [f"SECRET: {key} in {path.name}" for key in self.issued_keys if key in text]
         return found
--- a/tests/standins/__main__.py
+++ b/tests/standins/__main__.py
@@ -8,14 +8,14 @@
 import argparse
 import asyncio
 
-from standins.replica import Replica, Seen
+from standins.replica import ReceivedRequest, Replica
 from standins.store import StoreStandIn
 
 
-class Log(list[Seen]):
+class PrintedExecutions(list[ReceivedRequest]):
     """Runs of a replica, each told as it begins."""
 
-    def append(self, seen: Seen) -> None:
+    def append(self, seen: ReceivedRequest) -> None:
         """Notes and tells a run."""
         super().append(seen)
         print("ran", seen.headers.get("x-request-id", ""), flush=True)
@@ -28,7 +28,9 @@
         await store.start()
         print("ready", store.address, flush=True)
     else:
-        replica = Replica(args.service, args.zone, args.model, name=args.name, ran=Log())
+        replica = Replica(
+            args.service, args.zone, args.model, name=args.name, executed=PrintedExecutions()
+        )
         replica.load_time = args.load_time
         await replica.start()
         print("ready", replica.address, flush=True)
--- a/tests/standins/proxy.py
+++ b/tests/standins/proxy.py
@@ -6,7 +6,7 @@
 import enum
 
 
-class Way(enum.Enum):
+class ConnectionMode(enum.Enum):
     """What happens to the bytes of all connections."""
 
     OPEN = "open"
@@ -16,7 +16,7 @@
     SILENT = "silent"  # Open connections carry nothing any more; new ones work.
 
 
-HELD_UP = 0.3  # Seconds.
+SLOW_DELAY = 0.3  # Seconds.
 
 
 class Proxy:
@@ -27,7 +27,7 @@
     """
 
     def __init__(self) -> None:
-        self.way = Way.OPEN
+        self.mode = ConnectionMode.OPEN
         self.address = ""
         self._target = ("", 0)
         self._server: asyncio.Server | None = None
@@ -54,13 +54,13 @@
         assert task is not None
         self._tasks.add(task)
         try:
-            if self.way is Way.RESET:
+            if self.mode is ConnectionMode.RESET:
                 writer.transport.abort()
                 return
             far_reader, far_writer = await asyncio.open_connection(*self._target)
             deaf = asyncio.Event()
-            there = asyncio.create_task(self._pass(reader, far_writer, deaf, answers=False))
-            back = asyncio.create_task(self._pass(far_reader, writer, deaf, answers=True))
+            there = asyncio.create_task(self._forward(reader, far_writer, deaf, responses=False))
+            back = asyncio.create_task(self._forward(far_reader, writer, deaf, responses=True))
             await asyncio.wait({there, back}, return_when=asyncio.FIRST_COMPLETED)
             for part in (there, back):
                 part.cancel()
@@ -71,21 +71,21 @@
             self._tasks.discard(task)
             writer.transport.abort()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        deaf: asyncio.Event,
-        answers: bool,
+        silenced: asyncio.Event,
+        responses: bool,
     ) -> None:
         while data := await reader.read(65_536):
-            if self.way is Way.RESET:
+            if self.mode is ConnectionMode.RESET:
                 return
-            if self.way is Way.SILENT:
-                deaf.set()  # For good, also when the way is open again.
-            if deaf.is_set() or (answers and self.way is Way.ONE_WAY):
+            if self.mode is ConnectionMode.SILENT:
+                silenced.set()  # For good, also when the way is open again.
+            if silenced.is_set() or (responses and self.mode is ConnectionMode.ONE_WAY):
                 continue
-            if self.way is Way.SLOW:
-                await asyncio.sleep(HELD_UP)
+            if self.mode is ConnectionMode.SLOW:
+                await asyncio.sleep(SLOW_DELAY)
             writer.write(data)
             await writer.drain()
--- a/tests/standins/store.py
+++ b/tests/standins/store.py
@@ -9,17 +9,17 @@
 
 from aiohttp import web
 
-STOP_WAIT = 0.1  # Seconds for which calls that hang are waited for at the end.
+SHUTDOWN_TIMEOUT = 0.1  # Seconds for which calls that hang are waited for at the end.
 
 
-class Trouble(enum.Enum):
+class StoreFault(enum.Enum):
     """What the store does to its callers."""
 
     NONE = "none"
     BUSY = "busy"  # 503: nothing is done.
-    MANY = "many"  # 429: nothing is done.
+    RATE_LIMITED = "many"  # 429: nothing is done.
     SILENT = "silent"  # No answer; nothing is done.
-    LOST = "lost"  # Writes are done and not answered.
+    RESPONSE_LOST = "lost"  # Writes are done and not answered.
     RESET = "reset"
 
 
@@ -35,14 +35,14 @@
     """
 
     def __init__(self) -> None:
-        self.trouble = Trouble.NONE
-        self.troubled: set[str] = set()
-        self.history_from = 0
+        self.fault = StoreFault.NONE
+        self.faulty_callers: set[str] = set()
+        self.oldest_watch_revision = 0
         self.calls: list[tuple[str, str, int]] = []
-        self.spoiled: dict[bytes, bytes] = {}
+        self.body_replacements: dict[bytes, bytes] = {}
         self.era: int | None = 0  # None where answers name none.
         self.revision = 1
-        self._copy: tuple[int, dict[tuple[str, str], dict[str, Any]]] = (1, {})
+        self._saved_copy: tuple[int, dict[tuple[str, str], dict[str, Any]]] = (1, {})
         self.objects: dict[tuple[str, str], dict[str, Any]] = {}
         self._events: list[tuple[int, str, dict[str, Any], bool]] = []
         self._changed = asyncio.Condition()
@@ -52,7 +52,7 @@
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
         """Listens."""
         server = web.Server(self._handle)
-        self._runner = web.ServerRunner(server, shutdown_timeout=STOP_WAIT)
+        self._runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT)
         await self._runner.setup()
         site = web.TCPSite(self._runner, host, port)
         await site.start()
@@ -77,24 +77,24 @@
             self._remove(kind, name)
             self._changed.notify_all()
 
-    async def forget_history(self) -> None:
+    async def compact_history(self) -> None:
         """Drops the history, as a compaction does."""
         async with self._changed:
             self._events.clear()
-            self.history_from = self.revision + 1
+            self.oldest_watch_revision = self.revision + 1
             self.revision += 1
             self._changed.notify_all()
 
     def take_copy(self) -> None:
         """Copies all objects, as they are to be when the store comes back older."""
-        self._copy = self.revision, dict(self.objects)
+        self._saved_copy = self.revision, dict(self.objects)
 
-    async def come_back_older(self) -> None:
+    async def restore_copy(self) -> None:
         """Comes back as of the copy: later revisions are given out again, in the next era."""
         async with self._changed:
             assert self.era is not None
             self.era += 1
-            self.revision, self.objects = self._copy[0], dict(self._copy[1])
+            self.revision, self.objects = self._saved_copy[0], dict(self._saved_copy[1])
             self._events = [event for event in self._events if event[0] <= self.revision]
             self._changed.notify_all()
 
@@ -121,30 +121,30 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         _, _, rest = request.path.partition("/wigeonarch/objects/")
         kind, _, name = rest.partition("/")
-        trouble = self.trouble
-        if self.troubled and request.remote not in self.troubled:
-            trouble = Trouble.NONE
-        if trouble is Trouble.SILENT:
+        trouble = self.fault
+        if self.faulty_callers and request.remote not in self.faulty_callers:
+            trouble = StoreFault.NONE
+        if trouble is StoreFault.SILENT:
             await asyncio.sleep(3600)
-        if trouble is Trouble.RESET and request.transport is not None:
+        if trouble is StoreFault.RESET and request.transport is not None:
             request.transport.abort()
-        if trouble in (Trouble.BUSY, Trouble.MANY):
-            status = 503 if trouble is Trouble.BUSY else 429
+        if trouble in (StoreFault.BUSY, StoreFault.RATE_LIMITED):
+            status = 503 if trouble is StoreFault.BUSY else 429
             self.calls.append((request.method, kind, status))
             return web.Response(status=status, headers={"Store-Era": str(self.era or 0)})
-        status, document = await self._answer(request, kind, name)
+        status, document = await self._execute(request, kind, name)
         self.calls.append((request.method, kind, status))
-        if trouble is Trouble.LOST and request.method != "GET":
+        if trouble is StoreFault.RESPONSE_LOST and request.method != "GET":
             await asyncio.sleep(3600)
         body = json.dumps(document).encode()
-        for good, bad in self.spoiled.items():
+        for good, bad in self.body_replacements.items():
             body = body.replace(good, bad)
         named = {} if self.era is None else {"Store-Era": str(self.era)}
         return web.Response(
             body=body, status=status, content_type="application/json", headers=named
         )
 
-    async def _answer(self, request: web.BaseRequest, kind: str, name: str) -> tuple[int, Any]:
+    async def _execute(self, request: web.BaseRequest, kind: str, name: str) -> tuple[int, Any]:
         if request.method == "GET" and "watch" in request.query:
             return await self._watch(kind, request)
         if request.method == "GET" and not name:
@@ -156,9 +156,11 @@
         if request.method == "DELETE":
             await self.delete(kind, name)
             return 200, {}
-        return await self._store(request, kind, name)
+        return await self._handle_write(request, kind, name)
 
-    async def _store(self, request: web.BaseRequest, kind: str, name: str) -> tuple[int, Any]:
+    async def _handle_write(
+        self, request: web.BaseRequest, kind: str, name: str
+    ) -> tuple[int, Any]:
         body = json.loads(await request.read())
         name = name or body["metadata"]["name"]
         async with self._changed:
@@ -182,17 +184,21 @@
         try:
             async with asyncio.timeout(wait), self._changed:
                 await self._changed.wait_for(
-                    lambda: self._news(kind, since) or self._gone(since) or self.era != era
+                    lambda: self._events_after(kind, since)
+                    or self._is_unwatchable(since)
+                    or self.era != era
                 )
         except TimeoutError:
             pass
-        if self._gone(since) or self.era != era:
+        if self._is_unwatchable(since) or self.era != era:
             return 410, {}
-        events = [{"object": o, "deleted": d} for _, k, o, d in self._news(kind, since) if k]
+        events = [
+            {"object": o, "deleted": d} for _, k, o, d in self._events_after(kind, since) if k
+        ]
         return 200, {"events": events, "as_of": self.revision}
 
-    def _gone(self, since: int) -> bool:
-        return since < self.history_from or since > self.revision
+    def _is_unwatchable(self, since: int) -> bool:
+        return since < self.oldest_watch_revision or since > self.revision
 
-    def _news(self, kind: str, since: int) -> list[tuple[int, str, dict[str, Any], bool]]:
+    def _events_after(self, kind: str, since: int) -> list[tuple[int, str, dict[str, Any], bool]]:
         return [event for event in self._events if event[0] > since and event[1] == kind]
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -14,13 +14,13 @@
 from wigeonarch_ctl import exits
 from wigeonarch_ctl.cli import main
 from wigeonarch_fakes.demo_fleet import DemoFleet, Plan, demo_fleet, free_address, wait_for
-from wigeonarch_fakes.demo_steps import ADAPTER, configure, make_tour, see_owners
+from wigeonarch_fakes.demo_steps import ADAPTER, configure, make_context, wait_for_owners
 from wigeonarch_fakes.engine_documents import Settings
 
 pytestmark = pytest.mark.asyncio(loop_scope="module")
 
 MODEL = f"drafting/{ADAPTER}"
-PLAN = Plan(zones=("zone-a",), engine=Settings(base_ms=2), bytes_per_s=100e6, loads_per_s=50)
+FLEET_PLAN = Plan(zones=("zone-a",), engine=Settings(base_ms=2), bytes_per_s=100e6, loads_per_s=50)
 
 
 SETUP = ("adapter create drafting/x", "version create drafting/x@v1 --weights w")
@@ -28,38 +28,38 @@
 
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
 async def fleet() -> AsyncIterator[DemoFleet]:
-    async with demo_fleet(PLAN) as started, aiohttp.ClientSession() as http:
-        async with grpc.aio.insecure_channel(started.rpc("entry-zone-a")) as channel:
-            tour = make_tour(started, http, channel, lambda _text: None)
-            assert (await see_owners(tour)).ok
+    async with demo_fleet(FLEET_PLAN) as started, aiohttp.ClientSession() as http:
+        async with grpc.aio.insecure_channel(started.rpc_address("entry-zone-a")) as channel:
+            tour = make_context(started, http, channel, lambda _text: None)
+            assert (await wait_for_owners(tour)).ok
             assert (await configure(tour)).ok
         for line in SETUP:
-            args = ["--server", started.rpc("entry-zone-a"), *line.split()]
+            args = ["--server", started.rpc_address("entry-zone-a"), *line.split()]
             assert await asyncio.to_thread(main, args) == exits.OK
         yield started
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class CommandResult:
     """What a command printed and returned."""
 
     code: int
-    out: str
-    err: str
+    stdout: str
+    stderr: str
 
 
-class Ctl:
+class CommandRunner:
     """Runs commands in a thread, so that the instance goes on in this one."""
 
     def __init__(self, server: str, capsys: pytest.CaptureFixture[str]) -> None:
         self.server = server
         self.capsys = capsys
 
-    async def __call__(self, line: str, output: str = "table") -> Said:
+    async def __call__(self, line: str, output: str = "table") -> CommandResult:
         args = ["--server", self.server, "--output", output, *line.split()]
         code = await asyncio.to_thread(self._main, args)
         captured = self.capsys.readouterr()
-        return Said(code, captured.out, captured.err)
+        return CommandResult(code, captured.out, captured.err)
 
     def _main(self, args: list[str]) -> int:
         try:
@@ -70,9 +70,9 @@
 
 
 @pytest.fixture
-def ctl(fleet: DemoFleet, capsys: pytest.CaptureFixture[str]) -> Ctl:
+def ctl(fleet: DemoFleet, capsys: pytest.CaptureFixture[str]) -> CommandRunner:
     capsys.readouterr()
-    return Ctl(fleet.rpc("entry-zone-a"), capsys)
+    return CommandRunner(fleet.rpc_address("entry-zone-a"), capsys)
 
 
 # What is run, its exit code, and a part of what it prints on either stream; in any order.
@@ -125,12 +125,12 @@
 
 
 @pytest.mark.parametrize(("line", "code", "text"), COMMANDS, ids=[line for line, _, _ in COMMANDS])
-async def test_command(ctl: Ctl, line: str, code: int, text: str) -> None:
+async def test_command(ctl: CommandRunner, line: str, code: int, text: str) -> None:
     said = await ctl(line)
     assert said.code == code, said
-    assert text in said.out + said.err
+    assert text in said.stdout + said.stderr
     if code not in (exits.OK, exits.USAGE):
-        assert said.err.startswith("wigeonctl: "), "what to do goes to standard error"
+        assert said.stderr.startswith("wigeonctl: "), "what to do goes to standard error"
 
 
 # Faults of the plain service, exit code of a call that may run once, and what is advised.
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize(("faults", "code", "text"), FAULTS)
 async def test_outcomes_have_their_own_exit_codes(
-    fleet: DemoFleet, ctl: Ctl, faults: dict[str, object], code: int, text: str
+    fleet: DemoFleet, ctl: CommandRunner, faults: dict[str, object], code: int, text: str
 ) -> None:
     url = f"http://{fleet.services['orders-zone-a'].address}/_control/faults"
     async with aiohttp.ClientSession() as http:
@@ -151,10 +151,10 @@
             said = await ctl("submit orders --operation confirm --non-idempotent")
         async with http.post(url, json=dict.fromkeys(faults)):
             assert said.code == code, said
-    assert text in said.err
+    assert text in said.stderr
 
 
-async def test_running_request_is_pending(fleet: DemoFleet, ctl: Ctl) -> None:
+async def test_running_request_is_pending(fleet: DemoFleet, ctl: CommandRunner) -> None:
     line = f"submit {MODEL} --prompt x --max-tokens 300 --key once-1"
     node = fleet.nodes["entry-zone-a"]
     args = ["--server", ctl.server, *line.split()]
@@ -170,40 +170,40 @@
 
 
 async def test_unreachable_server(capsys: pytest.CaptureFixture[str]) -> None:
-    said = await Ctl(free_address(), capsys)("--timeout 1 status")
+    said = await CommandRunner(free_address(), capsys)("--timeout 1 status")
     assert said.code == exits.UNREACHABLE
-    assert "nothing was sent" in said.err
+    assert "nothing was sent" in said.stderr
 
 
-async def test_update_moves_a_rule_and_refuses_a_stale_one(ctl: Ctl) -> None:
-    entry = json.loads((await ctl(f"rule get {MODEL}", "json")).out)
+async def test_update_moves_a_rule_and_refuses_a_stale_one(ctl: CommandRunner) -> None:
+    entry = json.loads((await ctl(f"rule get {MODEL}", "json")).stdout)
     line = f"rule update {MODEL} --split v2=1 --expected-version {entry['version']}"
     done = await ctl(line, "json")
-    assert (done.code, json.loads(done.out)["status"]) == (exits.OK, "STATUS_ACCEPTED")
+    assert (done.code, json.loads(done.stdout)["status"]) == (exits.OK, "STATUS_ACCEPTED")
     again = await ctl(line)
-    assert (again.code, "Conflict" in again.err) == (exits.NOT_RUN, True)
+    assert (again.code, "Conflict" in again.stderr) == (exits.NOT_RUN, True)
     said = await ctl(f"submit {MODEL} --prompt x --max-tokens 1")
-    assert f"{ADAPTER}@v2#0" in said.out
+    assert f"{ADAPTER}@v2#0" in said.stdout
 
 
-async def test_same_operation_id_is_the_same_change(ctl: Ctl) -> None:
+async def test_same_operation_id_is_the_same_change(ctl: CommandRunner) -> None:
     line = "service create once --kind plain --operation-id op-1"
-    replies = [json.loads((await ctl(line, "json")).out) for _ in range(2)]
+    replies = [json.loads((await ctl(line, "json")).stdout) for _ in range(2)]
     assert replies[0] == replies[1]
-    assert json.loads((await ctl("change op-1", "json")).out)["change"] == replies[0]["change"]
+    assert json.loads((await ctl("change op-1", "json")).stdout)["change"] == replies[0]["change"]
 
 
-async def test_explain_shows_the_policys_reasons(ctl: Ctl) -> None:
-    reply = json.loads((await ctl(f"submit {MODEL} --prompt x", "json")).out)
+async def test_explain_shows_the_policys_reasons(ctl: CommandRunner) -> None:
+    reply = json.loads((await ctl(f"submit {MODEL} --prompt x", "json")).stdout)
     said = await ctl(f"explain {reply['request_id']}")
     assert said.code == exits.OK
     for part in ("route", "engine-zone-a", "grant", "waited", "outcome", "answered"):
-        assert part in said.out
+        assert part in said.stdout
 
 
-async def test_status_is_complete(fleet: DemoFleet, ctl: Ctl) -> None:
+async def test_status_is_complete(fleet: DemoFleet, ctl: CommandRunner) -> None:
     assert (await ctl(f"submit {MODEL} --prompt x")).code == exits.OK
-    doc = json.loads((await ctl("status", "json")).out)
+    doc = json.loads((await ctl("status", "json")).stdout)
     assert [(one["name"], one["ready"], one["lease"]) for one in doc["instances"]] == [
         ("entry-zone-a", True, "held")
     ]
@@ -218,22 +218,24 @@
     assert zone["lowest_applied"] == zone["highest_applied"] != "0"
 
 
-async def test_status_tells_leaving_and_unreachable_engines(fleet: DemoFleet, ctl: Ctl) -> None:
+async def test_status_tells_leaving_and_unreachable_engines(
+    fleet: DemoFleet, ctl: CommandRunner
+) -> None:
     """Stops the module's engine, so it comes near the end."""
     running = fleet.engines["engine-zone-a"]
     running.engine.leaving = True
-    assert json.loads((await ctl("status", "json")).out)["engines"][0]["state"] == "leaving"
+    assert json.loads((await ctl("status", "json")).stdout)["engines"][0]["state"] == "leaving"
     await running.stop()
-    assert json.loads((await ctl("status", "json")).out)["engines"][0]["state"] == "unreachable"
+    assert json.loads((await ctl("status", "json")).stdout)["engines"][0]["state"] == "unreachable"
 
 
-async def test_drain_is_safe_to_repeat(ctl: Ctl) -> None:
+async def test_drain_is_safe_to_repeat(ctl: CommandRunner) -> None:
     """Ends the module's instance, so it is the last test."""
     for _ in range(2):
         said = await ctl("drain entry-zone-a", "json")
-        assert (said.code, json.loads(said.out)["draining"]) == (exits.OK, True)
+        assert (said.code, json.loads(said.stdout)["draining"]) == (exits.OK, True)
     said = await ctl(f"submit {MODEL} --prompt x")
-    assert (said.code, "draining" in said.err) == (exits.NOT_RUN, True)
+    assert (said.code, "draining" in said.stderr) == (exits.NOT_RUN, True)
 
 
 async def test_every_exit_code_is_documented(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_ctl_teams.py
+++ b/tests/test_ctl_teams.py
@@ -12,7 +12,7 @@
 from wigeonarch_gateway.metrics import Metrics
 
 
-def page(units: float, refused: float, rate: float = 100.0) -> str:
+def make_metrics(units: float, refused: float, rate: float = 100.0) -> str:
     metrics = Metrics()
     metrics.set_quotas([Team("deli", None, Quota(Unit.TOKENS, rate, 50.0)), Team("free")])
     metrics.count_admitted("deli", units)
@@ -22,16 +22,16 @@
 
 
 def test_the_figures_of_all_instances_are_added_up() -> None:
-    found = teamtable.add_up([page(10.0, 3.0), page(20.0, 0.0)])
-    assert found == {"deli": teamtable.TeamUse(100.0, 50.0, 30.0, 2.0, 3.0, 1.0)}
+    found = teamtable.sum_usage([make_metrics(10.0, 3.0), make_metrics(20.0, 0.0)])
+    assert found == {"deli": teamtable.TeamUsage(100.0, 50.0, 30.0, 2.0, 3.0, 1.0)}
 
 
 def test_the_team_with_the_most_refused_comes_first() -> None:
     teams = {
-        "calm": teamtable.TeamUse(5.0, 5.0, 7.0, 1.0),
-        "hot": teamtable.TeamUse(None, None, 1.0, 1.0, 90.0, 9.0),
+        "calm": teamtable.TeamUsage(5.0, 5.0, 7.0, 1.0),
+        "hot": teamtable.TeamUsage(None, None, 1.0, 1.0, 90.0, 9.0),
     }
-    lines = teamtable.table(teams).splitlines()
+    lines = teamtable.format_table(teams).splitlines()
     assert [text.split()[0] for text in lines] == ["team", "hot", "calm"]
     assert lines[1].split() == ["hot", "-", "-", "1", "1", "90", "9"]
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -10,8 +10,8 @@
 
 import pytest
 from wigeonarch_fakes import demo
-from wigeonarch_fakes.demo_steps import Result, Step, Tour
-from wigeonarch_fakes.processes import BOUND, call, wait_for
+from wigeonarch_fakes.demo_steps import Result, Step, StepContext
+from wigeonarch_fakes.processes import TIMEOUT_S, call, wait_for
 
 COMMAND = (sys.executable, "-m", "wigeonarch_fakes.demo")
 
@@ -24,11 +24,11 @@
     assert "9 of 9 steps passed" in done.stdout
 
 
-async def _says_no(_tour: Tour) -> Result:
+async def _says_no(_tour: StepContext) -> Result:
     return Result(False, "as asked")
 
 
-async def _breaks(_tour: Tour) -> Result:
+async def _breaks(_tour: StepContext) -> Result:
     raise ConnectionResetError("as asked")
 
 
@@ -53,7 +53,7 @@
         assert status == 200
         assert "drafting/curry-blend" in {item["id"] for item in doc["data"]}
         process.send_signal(signal.SIGINT)
-        assert process.wait(BOUND) == 0
+        assert process.wait(TIMEOUT_S) == 0
     finally:
         process.kill()
-        process.wait(BOUND)
+        process.wait(TIMEOUT_S)
--- a/tests/test_doors_changes.py
+++ b/tests/test_doors_changes.py
@@ -15,7 +15,7 @@
 from wigeonarch_core.records import CHANGES
 from wigeonarch_entry.platform import Conflict, PlatformClient, Unavailable
 from wigeonarch_fakes.demo_fleet import Plan, demo_fleet
-from wigeonarch_fakes.demo_steps import Tour, make_tour
+from wigeonarch_fakes.demo_steps import StepContext, make_context
 from wigeonarch_schema import wigeonarch_pb2 as pb
 
 pytestmark = pytest.mark.asyncio(loop_scope="module")
@@ -27,13 +27,13 @@
 
 
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
-async def demo() -> AsyncIterator[Tour]:
+async def demo() -> AsyncIterator[StepContext]:
     async with (
         demo_fleet(Plan(zones=("zone-a",))) as fleet,
         aiohttp.ClientSession() as http,
-        grpc.aio.insecure_channel(fleet.rpc("entry-zone-a")) as channel,
+        grpc.aio.insecure_channel(fleet.rpc_address("entry-zone-a")) as channel,
     ):
-        yield make_tour(fleet, http, channel, lambda _text: None)
+        yield make_context(fleet, http, channel, lambda _text: None)
 
 
 class ScriptedResults:
@@ -78,7 +78,9 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-async def test_reply_to_a_change(demo: Tour, case: str, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_reply_to_a_change(
+    demo: StepContext, case: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     writes, reads, status = CASES[case]
     name = case.replace(" ", "-").replace(",", "")
     service = pb.Service(name=name, kind=pb.SERVICE_KIND_PLAIN)
@@ -99,7 +101,7 @@
 
 
 async def test_change_that_cannot_be_looked_up_is_pending_not_missing(
-    demo: Tour, monkeypatch: pytest.MonkeyPatch
+    demo: StepContext, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def refuse(*_args: Any, **_kwargs: Any) -> Unavailable:
         return REFUSED
--- a/tests/test_doors_http.py
+++ b/tests/test_doors_http.py
@@ -21,7 +21,13 @@
 from wigeonarch_entry import httpserver
 from wigeonarch_entry.dispatch import Dispatcher
 from wigeonarch_fakes.demo_fleet import DemoFleet, Plan, demo_fleet, wait_for
-from wigeonarch_fakes.demo_steps import ADAPTER, OTHER, configure, make_tour, see_owners
+from wigeonarch_fakes.demo_steps import (
+    ADAPTER,
+    OTHER_ADAPTER,
+    configure,
+    make_context,
+    wait_for_owners,
+)
 from wigeonarch_fakes.engine_documents import Settings
 
 pytestmark = pytest.mark.asyncio(loop_scope="module")
@@ -53,7 +59,7 @@
     def __init__(self, fleet: DemoFleet, http: aiohttp.ClientSession) -> None:
         self.fleet = fleet
         self.http = http
-        self.url = fleet.http("entry-zone-a")
+        self.url = fleet.http_url("entry-zone-a")
         self.engine = fleet.engines["engine-zone-a"].engine
 
     async def post(
@@ -103,9 +109,9 @@
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
 async def server() -> AsyncIterator[ServerUnderTest]:
     async with demo_fleet(PLAN) as fleet, aiohttp.ClientSession() as http:
-        async with grpc.aio.insecure_channel(fleet.rpc("entry-zone-a")) as channel:
-            demo = make_tour(fleet, http, channel, lambda _text: None)
-            assert (await see_owners(demo)).ok
+        async with grpc.aio.insecure_channel(fleet.rpc_address("entry-zone-a")) as channel:
+            demo = make_context(fleet, http, channel, lambda _text: None)
+            assert (await wait_for_owners(demo)).ok
             assert (await configure(demo)).ok
         yield ServerUnderTest(fleet, http)
 
@@ -342,7 +348,7 @@
 async def test_models_are_listed_and_looked_up(server: ServerUnderTest) -> None:
     async with server.http.get(f"{server.url}/v1/models") as resp:
         doc = await resp.json()
-    assert [item["id"] for item in doc["data"]] == sorted([MODEL, f"drafting/{OTHER}"])
+    assert [item["id"] for item in doc["data"]] == sorted([MODEL, f"drafting/{OTHER_ADAPTER}"])
     for name, status in ((MODEL, 200), ("drafting/none", 404)):
         async with server.http.get(f"{server.url}/v1/models/{name}") as resp:
             assert resp.status == status
@@ -407,7 +413,7 @@
     await server.wait_idle()
     assert server.finishes()[before:] == ["cancelled"]
     # Another adapter can be loaded into the only slot, so the pin has been released.
-    status, doc, _ = await server.post(TEXT, completion(model=f"drafting/{OTHER}"))
+    status, doc, _ = await server.post(TEXT, completion(model=f"drafting/{OTHER_ADAPTER}"))
     assert status == 200, doc
     assert not server.engine.record.evicted_in_use
 
--- a/tests/test_doors_rpc.py
+++ b/tests/test_doors_rpc.py
@@ -12,7 +12,14 @@
 import pytest_asyncio
 from wigeonarch_core.options import Limits
 from wigeonarch_fakes.demo_fleet import Plan, demo_fleet, wait_for
-from wigeonarch_fakes.demo_steps import ADAPTER, OTHER, Tour, configure, make_tour, see_owners
+from wigeonarch_fakes.demo_steps import (
+    ADAPTER,
+    OTHER_ADAPTER,
+    StepContext,
+    configure,
+    make_context,
+    wait_for_owners,
+)
 from wigeonarch_fakes.engine_documents import Settings
 from wigeonarch_fakes.engine_model import Engine
 from wigeonarch_schema import wigeonarch_pb2 as pb
@@ -31,14 +38,14 @@
 
 
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
-async def demo() -> AsyncIterator[Tour]:
+async def demo() -> AsyncIterator[StepContext]:
     async with (
         demo_fleet(PLAN) as fleet,
         aiohttp.ClientSession() as http,
-        grpc.aio.insecure_channel(fleet.rpc("entry-zone-a")) as channel,
+        grpc.aio.insecure_channel(fleet.rpc_address("entry-zone-a")) as channel,
     ):
-        demo = make_tour(fleet, http, channel, lambda _text: None)
-        assert (await see_owners(demo)).ok
+        demo = make_context(fleet, http, channel, lambda _text: None)
+        assert (await wait_for_owners(demo)).ok
         assert (await configure(demo)).ok
         yield demo
 
@@ -71,7 +78,9 @@
 
 
 @pytest.mark.parametrize("case", REFUSED)
-async def test_refused_request_gets_its_reason_whole_and_streamed(demo: Tour, case: str) -> None:
+async def test_refused_request_gets_its_reason_whole_and_streamed(
+    demo: StepContext, case: str
+) -> None:
     request, reason = REFUSED[case]
     reply = await demo.requests.Submit(request)
     events = [event async for event in demo.requests.SubmitStream(request)]
@@ -100,7 +109,7 @@
 
 
 @pytest.mark.parametrize("case", MALFORMED)
-async def test_malformed_message_is_an_invalid_argument(demo: Tour, case: str) -> None:
+async def test_malformed_message_is_an_invalid_argument(demo: StepContext, case: str) -> None:
     stub, method, request = MALFORMED[case]
     with pytest.raises(grpc.aio.AioRpcError) as caught:
         await getattr(getattr(demo, stub), method)(request)
@@ -147,14 +156,14 @@
 
 
 @pytest.mark.parametrize("case", BAD_MUTATIONS)
-async def test_malformed_mutation_is_not_written_to_the_log(demo: Tour, case: str) -> None:
+async def test_malformed_mutation_is_not_written_to_the_log(demo: StepContext, case: str) -> None:
     request = pb.MutateRequest(operation_id=case, mutation=BAD_MUTATIONS[case])
     with pytest.raises(grpc.aio.AioRpcError) as caught:
         await demo.catalogue.Mutate(request)
     assert caught.value.code() is grpc.StatusCode.INVALID_ARGUMENT
 
 
-async def test_kind_of_a_service_cannot_change(demo: Tour) -> None:
+async def test_kind_of_a_service_cannot_change(demo: StepContext) -> None:
     key = pb.GetEntryRequest(kind=pb.ENTRY_KIND_SERVICE, name="drafting")
     entry = await demo.catalogue.GetEntry(key)
     mutation = _service("drafting", pb.SERVICE_KIND_PLAIN)
@@ -165,7 +174,7 @@
     assert await demo.catalogue.GetEntry(key) == entry
 
 
-async def test_list_returns_all_entries_page_by_page(demo: Tour) -> None:
+async def test_list_returns_all_entries_page_by_page(demo: StepContext) -> None:
     request = pb.ListEntriesRequest(kind=pb.ENTRY_KIND_VERSION, page_size=3)
     names: list[str] = []
     while True:
@@ -174,10 +183,12 @@
         if not page.next_page_token:
             break
         request.page_token = page.next_page_token
-    assert names == sorted(f"drafting/{a}@{v}" for a in (ADAPTER, OTHER) for v in ("v1", "v2"))
+    assert names == sorted(
+        f"drafting/{a}@{v}" for a in (ADAPTER, OTHER_ADAPTER) for v in ("v1", "v2")
+    )
 
 
-async def test_stream_has_no_gaps_and_ends(demo: Tour) -> None:
+async def test_stream_has_no_gaps_and_ends(demo: StepContext) -> None:
     events = [event async for event in demo.requests.SubmitStream(generate(tokens=6))]
     chunks = [event.chunk for event in events[:-1]]
     assert [chunk.seq for chunk in chunks] == list(range(len(chunks)))
@@ -188,7 +199,7 @@
     assert (end.outcome, end.tokens, end.text) == (pb.OUTCOME_ANSWERED, 6, "")
 
 
-async def test_request_is_explained_by_the_instance_that_received_it(demo: Tour) -> None:
+async def test_request_is_explained_by_the_instance_that_received_it(demo: StepContext) -> None:
     reply = await demo.requests.Submit(generate())
     explained = await demo.requests.Explain(pb.ExplainRequest(request_id=reply.request_id))
     assert {"route", "grant", "outcome"} <= {each.step for each in explained.decisions}
@@ -199,7 +210,7 @@
     assert caught.value.code() is grpc.StatusCode.NOT_FOUND
 
 
-def _engine(demo: Tour) -> Engine:
+def _engine(demo: StepContext) -> Engine:
     return demo.fleet.engines["engine-zone-a"].engine
 
 
@@ -212,7 +223,7 @@
 
 
 @pytest.mark.parametrize("read", [_read_one, _read_nothing])
-async def test_caller_that_disconnects_frees_the_engine(demo: Tour, read: Any) -> None:
+async def test_caller_that_disconnects_frees_the_engine(demo: StepContext, read: Any) -> None:
     node = demo.fleet.nodes["entry-zone-a"]
     records = _engine(demo).record.dispatches
     before = len(records)
@@ -226,12 +237,12 @@
     await wait_for(lambda: list(records.values())[-1].finish == "cancelled")
     await wait_for(lambda: len(asyncio.all_tasks()) <= tasks)
     # Another adapter can be loaded into the only slot, so the pin has been released.
-    reply = await demo.requests.Submit(generate(f"drafting/{OTHER}"))
+    reply = await demo.requests.Submit(generate(f"drafting/{OTHER_ADAPTER}"))
     assert reply.outcome == pb.OUTCOME_ANSWERED
     assert not _engine(demo).record.evicted_in_use
 
 
-async def test_draining_instance_refuses_requests(demo: Tour) -> None:
+async def test_draining_instance_refuses_requests(demo: StepContext) -> None:
     """Must be the last test: it drains the instance that all tests of the module share."""
     for _ in range(2):
         reply = await demo.status.Drain(pb.DrainRequest())
--- a/tests/test_endpoint_starts.py
+++ b/tests/test_endpoint_starts.py
@@ -132,32 +132,34 @@
 
 async def test_an_engine_that_restarts_is_used_with_the_adapters_that_it_then_has() -> None:
     async with world(nodes=2) as found:
-        engine = await found.add_replica(Replica("llm", model="m", name="i-born", born=1000))
+        engine = await found.add_replica(Replica("llm", model="m", name="i-born", incarnation=1000))
         await found.store.delete("servers", "i-llm")
         await found.wait_until_served("/write/x", adapter="a1")
         await found.wait_until_served("/write/x", adapter="a2", node=1)
         for _ in range(2):
             engine.restart()
             await found.store.put("servers", "i-born", engine.record())
-            await until_true(lambda: all(start_known_to(n) == engine.born for n in found.nodes))
+            await until_true(
+                lambda: all(start_known_to(n) == engine.incarnation for n in found.nodes)
+            )
             await found.wait_until_served("/write/x", adapter="a1")
             await found.wait_until_served("/write/x", adapter="a3", node=1)
-            assert "a3" in engine.held
-        assert engine.overfilled == 0
+            assert "a3" in engine.loaded
+        assert engine.overfill_count == 0
 
 
 async def test_orders_meant_for_an_earlier_incarnation_do_not_overfill_the_engine() -> None:
     async with world() as found:
-        engine = await found.add_replica(Replica("llm", model="m", name="i-born", born=1000))
+        engine = await found.add_replica(Replica("llm", model="m", name="i-born", incarnation=1000))
         await found.store.delete("servers", "i-llm")
         await found.wait_until_served("/write/x", adapter="a0")
-        engine.late_orders = True
+        engine.delays_orders = True
         await asyncio.gather(*(found.send_request("/write/x", adapter=f"b{n}") for n in range(5)))
-        engine.late_orders = False
+        engine.delays_orders = False
         engine.restart()
         await found.store.put("servers", "i-born", engine.record())
         for number in range(engine.places + 2):
             await found.wait_until_served("/write/x", adapter=f"c{number}")
-        await asyncio.sleep(engine.late)
+        await asyncio.sleep(engine.order_delay)
         await found.wait_until_served("/write/x", adapter="d1")
-        assert engine.overfilled == 0
+        assert engine.overfill_count == 0
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -166,7 +166,7 @@
     spoiled: tuple[bytes, bytes],
 ) -> None:
     async with instance() as (standin, reader):
-        standin.spoiled = dict([spoiled])
+        standin.body_replacements = dict([spoiled])
         await standin.put("servers", "i-1", VALID)
         since = await reader.read()
         await standin.put("servers", "i-foreign", {"state": "spoil"})
--- a/tests/test_gateway_demo.py
+++ b/tests/test_gateway_demo.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import pytest
-from gateway_demo import STEPS, show
+from gateway_demo import STEPS, run_steps
 
 
 async def test_all_steps_are_shown(capsys: pytest.CaptureFixture[str]) -> None:
-    assert await show(keep=False) == 0, capsys.readouterr().out
+    assert await run_steps(keep=False) == 0, capsys.readouterr().out
     assert capsys.readouterr().out.count("\n     ") == len(STEPS)
--- a/tests/test_gateway_fleet.py
+++ b/tests/test_gateway_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 from gateway_world import HOST, World, until, until_true, world
 from standins.replica import Replica
-from standins.store import Trouble
+from standins.store import StoreFault
 from wigeonarch_core.load_time import COLD_LOAD
 from wigeonarch_runtime.clock import monotonic
 
@@ -64,23 +64,23 @@
     async with world(nodes=2) as deployment:
         await deployment.wait_until_served("/write/x", adapter="a1")
         await deployment.wait_until_served("/ask/x")
-        deployment.store.trouble = Trouble.SILENT
+        deployment.store.fault = StoreFault.SILENT
         for _ in range(4):
             await asyncio.sleep(0.5)
             assert (await deployment.send_request("/ask/x")).status == 200
             assert (await deployment.send_request("/write/x", adapter="a1")).status == 200
-        deployment.store.trouble = Trouble.NONE
+        deployment.store.fault = StoreFault.NONE
         await deployment.wait_until_served("/write/x", adapter="b1")
 
 
 async def test_entries_that_lapsed_in_a_store_outage_stay_in_use_and_removed_ones_do_not() -> None:
     async with world() as deployment:
         await deployment.wait_until_served("/ask/x")
-        deployment.store.trouble = Trouble.BUSY
+        deployment.store.fault = StoreFault.BUSY
         await asyncio.sleep(0.8)
         await deployment.store.delete("servers", "i-desk")
         await deployment.store.delete("servers", "i-llm")
-        deployment.store.trouble = Trouble.NONE
+        deployment.store.fault = StoreFault.NONE
         await asyncio.sleep(0.3)
         assert (await deployment.send_request("/ask/x")).status == 200
         await deployment.store.put("servers", "i-llm", deployment.replicas[0].record())
@@ -96,13 +96,13 @@
     async with world() as deployment:
         await deployment.wait_until_served("/ask/x")
         await deployment.add_replica(Replica("desk", name="i-desk2"))
-        await deployment.store.forget_history()
+        await deployment.store.compact_history()
         await deployment.store.delete("servers", "i-desk")
 
         async def only_second() -> bool:
-            deployment.replicas[1].arrived.clear()
+            deployment.replicas[1].received.clear()
             answer = await deployment.send_request("/ask/x")
-            return answer.status == 200 and not deployment.replicas[1].arrived
+            return answer.status == 200 and not deployment.replicas[1].received
 
         await until(only_second)
 
@@ -111,9 +111,9 @@
     async with world() as deployment:
         engine = deployment.replicas[0]
         await deployment.wait_until_served("/write/x", adapter="a1")
-        deployment.store.trouble = Trouble.LOST
+        deployment.store.fault = StoreFault.RESPONSE_LOST
         await asyncio.sleep(2.0)
-        deployment.store.trouble = Trouble.NONE
+        deployment.store.fault = StoreFault.NONE
         await deployment.wait_until_served("/write/x", adapter="b1")
         fences = [int(body["fence"]) for body, _ in engine.orders]
         assert fences == sorted(fences)
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_world import World, until, until_true, world
-from standins.replica import Replica, Trouble
+from standins.replica import Replica, ReplicaFault
 from wigeonarch_gateway.ports import EndpointState
 
 OBEYED = 2.0  # Seconds after a forwarded response within which requests may still arrive.
@@ -48,11 +48,11 @@
         for node in range(3):
             await found.wait_until_served(path, node=node)
         leaving.leaving = True
-        ran = len(leaving.ran)
+        ran = len(leaving.executed)
 
         async def forwarded() -> bool:
             await send_to_all(found, path, statuses)
-            return len(leaving.ran) > ran
+            return len(leaving.executed) > ran
 
         await until(forwarded)
         announced = time.monotonic()
@@ -63,7 +63,7 @@
                 "servers", leaving.name, {**leaving.record(), "seq": len(statuses)}
             )
         assert [
-            seen.at - announced for seen in leaving.arrived if seen.at > announced + OBEYED
+            seen.at - announced for seen in leaving.received if seen.at > announced + OBEYED
         ] == []
         assert statuses == [200] * len(statuses)
 
@@ -109,7 +109,7 @@
 async def test_an_endpoint_that_restarts_under_its_id_is_used_again() -> None:
     async with world(nodes=2) as found:
         leaving = await add_second_service(found)
-        leaving.born = 5000
+        leaving.incarnation = 5000
         await found.store.put("servers", leaving.name, leaving.record())
         await until_true(
             lambda: all(
@@ -137,13 +137,15 @@
         )
 
 
-@pytest.mark.parametrize("trouble", [Trouble.FOREIGN_FIRST, Trouble.DOUBLE])
-async def test_the_notice_in_a_response_to_another_request_is_ignored(trouble: Trouble) -> None:
+@pytest.mark.parametrize("trouble", [ReplicaFault.FOREIGN_FIRST, ReplicaFault.DOUBLE])
+async def test_the_notice_in_a_response_to_another_request_is_ignored(
+    trouble: ReplicaFault,
+) -> None:
     async with world(nodes=1) as found:
         desk = found.replicas[1]
         await found.wait_until_served("/ask/x")
-        desk.trouble = trouble
-        desk.foreign_leaving = True
+        desk.fault = trouble
+        desk.unsolicited_leaving = True
         for _ in range(5):
             await found.send_request("/ask/x")
         assert [record.endpoint for record in found.nodes[0]._endpoints.ready("desk")] == ["i-desk"]
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -47,7 +47,7 @@
 
 def most_arrivals(replica: Replica, since: float) -> int:
     """Returns the largest number of requests that arrived in any window from a time on."""
-    times = [seen.at for seen in replica.arrived if seen.at >= since]
+    times = [seen.at for seen in replica.received if seen.at >= since]
     return max((sum(at <= t < at + WINDOW for t in times) for at in times), default=0)
 
 
@@ -59,7 +59,7 @@
 async def both_used(deployment: World, one: Replica, other: Replica) -> bool:
     """Sends some requests; tells whether both endpoints have run at least one so far."""
     await asyncio.gather(*(deployment.send_request("/ask/x", node=n) for n in (0, 1, 2, 0, 1, 2)))
-    return bool(one.ran and other.ran)
+    return bool(one.executed and other.executed)
 
 
 async def load(
@@ -83,7 +83,7 @@
 
         await until(partial(all_know, deployment, 2))
         await until(partial(both_used, deployment, limited, other))
-        limited.limit = limit
+        limited.rate_limit = limit
         stated_at = time.monotonic()
         answers: list[CallerResponse] = []
         loads = [
@@ -95,21 +95,21 @@
         assert most_arrivals(limited, stated_at + NOTICE_TIME) <= allowed
         # Compares complete responses, so that a failure shows why a request was refused.
         assert [answer for answer in answers if answer.status != 200] == []
-        limited.limit = ""
-        arrived_before = len(limited.arrived)
+        limited.rate_limit = ""
+        arrived_before = len(limited.received)
 
         async def used_again() -> bool:
             await asyncio.gather(
                 *(deployment.send_request("/ask/x", node=n) for n in (0, 1, 2, 0, 1, 2))
             )
-            return len(limited.arrived) - arrived_before > 4 * allowed
+            return len(limited.received) - arrived_before > 4 * allowed
 
         await until(used_again)
 
 
 async def test_request_is_refused_at_once_when_all_endpoints_are_at_their_limits() -> None:
     async with world(nodes=2) as deployment:
-        deployment.replicas[1].limit = "0.2"
+        deployment.replicas[1].rate_limit = "0.2"
         for node in range(2):
             await deployment.wait_until_served("/ask/x", node=node)
 
@@ -131,7 +131,7 @@
 ) -> None:
     async with world(nodes=2) as deployment:
         desk = deployment.replicas[1]
-        desk.limit = "0.5"
+        desk.rate_limit = "0.5"
         for node in range(2):
             await deployment.wait_until_served("/ask/x", node=node)
 
@@ -163,7 +163,7 @@
             return all(len(node._endpoints.ready("llm")) == 2 for node in deployment.nodes)
 
         await until(known)
-        limited.limit = "1"
+        limited.rate_limit = "1"
         statuses: list[int] = []
 
         async def limit_known() -> bool:
@@ -174,12 +174,12 @@
             return all(limited.name in node._limits._limited for node in deployment.nodes)
 
         await until(limit_known)
-        before = len(limited.arrived)
+        before = len(limited.received)
         for number in range(40):
             answer = await deployment.send_request("/write/x", node=number % 2, X_Model="m")
             statuses.append(answer.status)
         assert statuses == [200] * len(statuses)
-        assert len(limited.arrived) - before < 20
+        assert len(limited.received) - before < 20
 
 
 async def test_request_waits_for_its_permit_when_all_endpoints_have_limits() -> None:
@@ -187,7 +187,7 @@
         # The route's objective leaves less time than a lost reply of the limiter would take.
         quick = route("quick", "idempotent", "desk", slo_ms=300)
         await deployment.store.put("config", "main", configuration(2, quick))
-        deployment.replicas[1].limit = "4"
+        deployment.replicas[1].rate_limit = "4"
         for node in range(2):
             await deployment.wait_until_served("/quick/x", node=node)
 
--- a/tests/test_gateway_older_owners.py
+++ b/tests/test_gateway_older_owners.py
@@ -50,13 +50,19 @@
         if copied == "before_the_claim":
             await until_true(lambda: len(found.nodes[0]._endpoints.ready("llm")) == 1)
             found.store.take_copy()
-            found.store._copy = found.store._copy[0] - REVISIONS_LOST, found.store._copy[1]
+            found.store._saved_copy = (
+                found.store._saved_copy[0] - REVISIONS_LOST,
+                found.store._saved_copy[1],
+            )
         await found.wait_until_served("/write/x", adapter="a1")
         first = found.recorded_owner("i-llm")
         if copied == "after_the_claim":
             found.store.take_copy()
-            found.store._copy = found.store._copy[0] - REVISIONS_LOST, found.store._copy[1]
-        await found.store.come_back_older()
+            found.store._saved_copy = (
+                found.store._saved_copy[0] - REVISIONS_LOST,
+                found.store._saved_copy[1],
+            )
+        await found.store.restore_copy()
         await wait_for_new_era(found)
         await found.wait_until_served("/write/x", node=0, adapter="a2")
         crashed = crash(found, first)
@@ -74,7 +80,7 @@
         await found.wait_until_served("/write/x", adapter="a1")
         first = found.recorded_owner("i-llm")
         for drill in range(3):
-            await found.store.come_back_older()
+            await found.store.restore_copy()
             assert found.recorded_owner("i-llm") == ""
             await until_true(lambda: found.recorded_owner("i-llm"))
             assert found.recorded_owner("i-llm") == first
--- a/tests/test_gateway_older_store.py
+++ b/tests/test_gateway_older_store.py
@@ -44,7 +44,7 @@
         await found.store.put("config", "main", configuration(2))
         await wait_until_in_force(found, 2)
         await advance_revisions(found)
-        await found.store.come_back_older()
+        await found.store.restore_copy()
         await found.store.put("config", "main", configuration(2))
         await found.store.put(
             "config", "main", configuration(3, route("new", "idempotent", "desk"))
@@ -62,7 +62,7 @@
         )
         found.store.take_copy()
         await advance_revisions(found)
-        await found.store.come_back_older()
+        await found.store.restore_copy()
         await found.store.put("servers", other.name, other.record("draining"))
         await until_true(
             lambda: all(len(node._endpoints.ready("desk")) == 1 for node in found.nodes)
@@ -77,7 +77,7 @@
             "config", "main", configuration(2, route("new", "idempotent", "desk"))
         )
         await wait_until_in_force(found, 2)
-        await found.store.come_back_older()
+        await found.store.restore_copy()
 
         async def know_new_era() -> bool:
             return all(node._store.era == found.store.era for node in found.nodes)
@@ -98,7 +98,7 @@
         await until_true(
             lambda: all(len(node._endpoints.ready("desk")) == 1 for node in found.nodes)
         )
-        await found.store.come_back_older()
+        await found.store.restore_copy()
         await found.store.put("config", "main", configuration(2))
         await wait_until_in_force(found, 2)
         for node in found.nodes:
@@ -113,7 +113,7 @@
         await until_true(
             lambda: all(len(node._endpoints.ready("desk")) == 2 for node in found.nodes)
         )
-        await found.store.come_back_older()
+        await found.store.restore_copy()
         await until_true(
             lambda: all(node._endpoints.is_missing(other.name) for node in found.nodes)
         )
@@ -131,7 +131,7 @@
         other = await found.add_replica(Replica("desk", name="i-desk2"))
         endpoints = found.nodes[0]._endpoints
         await until_true(lambda: len(endpoints.ready("desk")) == 2)
-        await found.store.come_back_older()
+        await found.store.restore_copy()
         await until_true(lambda: endpoints.get(other.name) is None)
         await found.store.put("servers", other.name, other.record())
         await until_true(
@@ -147,7 +147,7 @@
     found.store.take_copy()
     await found.store.delete("servers", other.name)
     await until_true(lambda: all(len(node._endpoints.ready("desk")) == 1 for node in found.nodes))
-    await found.store.come_back_older()
+    await found.store.restore_copy()
     await found.store.put("config", "main", configuration(2))
     await until_true(
         lambda: all(other.name in node._endpoints._old_copy_records for node in found.nodes)
@@ -161,7 +161,7 @@
         other = await remove_and_restore_entry(found)
         for _ in range(20):
             assert (await found.send_request("/ask/x")).status == 200
-        assert other.arrived == []
+        assert other.received == []
         await found.store.delete("servers", other.name)
         await until_true(
             lambda: not any(other.name in node._endpoints._old_copy_records for node in found.nodes)
--- a/tests/test_gateway_passing.py
+++ b/tests/test_gateway_passing.py
@@ -7,8 +7,8 @@
 import aiohttp
 import pytest
 from gateway_world import HOST, World, configuration, route, until, until_true, world
-from standins.replica import Replica, Trouble
-from standins.store import Trouble as StoreTrouble
+from standins.replica import Replica, ReplicaFault
+from standins.store import StoreFault as StoreTrouble
 
 STREAM = b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in range(1, 7))
 NOT_RUN_STATUSES = {408, 421, 429, 503}
@@ -21,7 +21,7 @@
     await deployment.wait_until_served("/ask/x")
 
     async def until_both_ran() -> None:
-        while not (first.ran and second.ran):
+        while not (first.executed and second.executed):
             await asyncio.gather(*(deployment.send_request("/ask/x") for _ in range(8)))
 
     async with asyncio.timeout(20):
@@ -33,11 +33,11 @@
     async with world() as deployment:
         await deployment.wait_until_served("/ask/x")
         desk = deployment.replicas[1]
-        desk.ran.clear()
+        desk.executed.clear()
         answer = await deployment.send_request(
             "/ask/a%2Fb/../c?q=1%20&r", b"\x00body", X_Other="kept", X_Hold="forged"
         )
-        seen = desk.ran[0]
+        seen = desk.executed[0]
         assert (seen.method, seen.target, seen.body) == (
             "POST",
             "/ask/a%2Fb/../c?q=1%20&r",
@@ -63,13 +63,13 @@
 
 async def test_request_is_refused_with_503_and_not_404_without_a_configuration() -> None:
     async with world(nodes=0) as deployment:
-        deployment.store.trouble = StoreTrouble.BUSY
+        deployment.store.fault = StoreTrouble.BUSY
         await deployment.add_node(0)
         assert await deployment.readiness_status() == 503
         answer = await deployment.send_request("/ask/x")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
-        deployment.store.trouble = StoreTrouble.NONE
+        deployment.store.fault = StoreTrouble.NONE
         await deployment.wait_until_served("/ask/x")
         assert await deployment.readiness_status() == 200
 
@@ -77,47 +77,47 @@
 async def test_body_that_is_too_large_is_refused() -> None:
     async with world() as deployment:
         await deployment.wait_until_served("/ask/x")
-        deployment.replicas[1].arrived.clear()
+        deployment.replicas[1].received.clear()
         assert (await deployment.send_request("/ask/x", b"x" * 100_001)).status == 413
-        assert not deployment.replicas[1].arrived
+        assert not deployment.replicas[1].received
 
 
 # What the first endpoint does, the route, and what the caller must get: "other" is the response of
 # the second endpoint, a number is the status of the gateway's own response.
-CASES: list[tuple[Trouble, str, str | int]] = [
-    (Trouble.ERROR, "/ask/x", "other"),
-    (Trouble.RESET, "/ask/x", "other"),
-    (Trouble.CUT, "/ask/x", "other"),
-    (Trouble.GARBAGE, "/ask/x", "other"),
-    (Trouble.SILENT, "/ask/x", "other"),
-    (Trouble.FALSE_503, "/ask/x", "other"),
-    (Trouble.UNFRAMED_RESET, "/ask/x", "other"),
-    (Trouble.SHED, "/ask/x", "other"),
-    (Trouble.SHED, "/book/x", "other"),  # The first endpoint states that it did not run it.
-    (Trouble.RESET, "/book/x", 502),
-    (Trouble.CUT, "/book/x", 502),
-    (Trouble.GARBAGE, "/book/x", 502),
-    (Trouble.FALSE_503, "/book/x", 502),
-    (Trouble.ERROR, "/book/x", 500),
-    (Trouble.UNFRAMED, "/book/x", 200),
-    (Trouble.FOREIGN_FIRST, "/book/x", 200),
-    (Trouble.DOUBLE, "/book/x", 200),
+CASES: list[tuple[ReplicaFault, str, str | int]] = [
+    (ReplicaFault.ERROR, "/ask/x", "other"),
+    (ReplicaFault.RESET, "/ask/x", "other"),
+    (ReplicaFault.CUT, "/ask/x", "other"),
+    (ReplicaFault.GARBAGE, "/ask/x", "other"),
+    (ReplicaFault.SILENT, "/ask/x", "other"),
+    (ReplicaFault.FALSE_503, "/ask/x", "other"),
+    (ReplicaFault.UNFRAMED_RESET, "/ask/x", "other"),
+    (ReplicaFault.SHED, "/ask/x", "other"),
+    (ReplicaFault.SHED, "/book/x", "other"),  # The first endpoint states that it did not run it.
+    (ReplicaFault.RESET, "/book/x", 502),
+    (ReplicaFault.CUT, "/book/x", 502),
+    (ReplicaFault.GARBAGE, "/book/x", 502),
+    (ReplicaFault.FALSE_503, "/book/x", 502),
+    (ReplicaFault.ERROR, "/book/x", 500),
+    (ReplicaFault.UNFRAMED, "/book/x", 200),
+    (ReplicaFault.FOREIGN_FIRST, "/book/x", 200),
+    (ReplicaFault.DOUBLE, "/book/x", 200),
 ]
 
 
 @pytest.mark.parametrize(("trouble", "path", "expected"), CASES)
-async def test_faulty_endpoint(trouble: Trouble, path: str, expected: str | int) -> None:
+async def test_faulty_endpoint(trouble: ReplicaFault, path: str, expected: str | int) -> None:
     async with world() as deployment:
         first, second = await add_second_desk(deployment)
-        second.trouble = Trouble.SHED  # So that the request also reaches the first endpoint.
-        first.trouble = trouble
-        first.ran.clear()
-        second.ran.clear()
+        second.fault = ReplicaFault.SHED  # So that the request also reaches the first endpoint.
+        first.fault = trouble
+        first.executed.clear()
+        second.executed.clear()
         if expected == "other":
-            first.trouble, second.trouble = trouble, Trouble.NONE
+            first.fault, second.fault = trouble, ReplicaFault.NONE
         answers = [await deployment.send_request(path, b"%d" % n) for n in range(3)]
         for number, answer in enumerate(answers):
-            ran = [s for r in (first, second) for s in r.ran if s.body == b"%d" % number]
+            ran = [s for r in (first, second) for s in r.executed if s.body == b"%d" % number]
             if expected == "other":
                 assert (answer.status, answer.body) == (
                     200,
@@ -142,7 +142,7 @@
 async def test_doubled_response_is_not_taken_for_that_of_the_next_request() -> None:
     async with world() as deployment:
         await deployment.wait_until_served("/ask/x")
-        deployment.replicas[1].trouble = Trouble.DOUBLE
+        deployment.replicas[1].fault = ReplicaFault.DOUBLE
         for number in range(5):
             answer = await deployment.send_request("/book/x", b"%d" % number)
             assert answer.body == b"answer of i-desk to %d" % number
@@ -153,7 +153,7 @@
         slow = route("slow", "non_idempotent", "desk", timeout_ms=300)
         await deployment.store.put("config", "main", configuration(2, slow))
         await deployment.wait_until_served("/slow/x")
-        deployment.replicas[1].trouble = Trouble.SILENT
+        deployment.replicas[1].fault = ReplicaFault.SILENT
         assert (await deployment.send_request("/slow/x")).status == 504
 
 
@@ -174,9 +174,9 @@
         await deployment.wait_until_served("/ask/x")
         desk = deployment.replicas[1]
         desk.name = "i-other"
-        desk.ran.clear()
+        desk.executed.clear()
         assert (await deployment.send_request("/book/x")).status == 503
-        assert not desk.ran
+        assert not desk.executed
 
 
 async def test_leaving_endpoint_gets_no_new_requests() -> None:
@@ -184,10 +184,10 @@
         first, _ = await add_second_desk(deployment)
         await deployment.store.put("servers", first.name, first.record("draining"))
         await asyncio.sleep(0.5)  # Twice as long as a watch call; later requests must not arrive.
-        first.arrived.clear()
+        first.received.clear()
         for _ in range(10):
             assert (await deployment.send_request("/ask/x")).status == 200
-        assert not first.arrived
+        assert not first.received
 
 
 async def test_stream_is_forwarded_completely() -> None:
@@ -201,7 +201,7 @@
 async def test_stream_that_breaks_off_does_not_look_complete() -> None:
     async with world() as deployment:
         await deployment.wait_until_served("/write/x", adapter="a1")
-        deployment.replicas[0].trouble = Trouble.CUT
+        deployment.replicas[0].fault = ReplicaFault.CUT
         answer = await deployment.send_request("/write/x", adapter="a1")
         assert not answer.complete
         assert answer.body == STREAM[: len(answer.body)]
@@ -213,12 +213,12 @@
         await deployment.wait_until_served("/draft/x", adapter="a1")
         second = await deployment.add_replica(Replica("llm", model="m", name="i-llm2"))
         await until_true(lambda: deployment.recorded_owner("i-llm2"))
-        deployment.replicas[0].trouble = Trouble.CUT
+        deployment.replicas[0].fault = ReplicaFault.CUT
         answer = await deployment.send_request("/draft/x", adapter="a1")
         assert (answer.complete, answer.body) == (True, STREAM)
         # The headers are those of the first engine, also for the second one's part.
         assert answer.headers["x-server-stamp"] == "i-llm"
-        assert second.ran[-1].headers["last-event-id"] == "3"
+        assert second.executed[-1].headers["last-event-id"] == "3"
 
 
 async def test_engine_stops_work_when_its_caller_disconnects() -> None:
@@ -243,19 +243,19 @@
     async with world() as deployment:
         engine = deployment.replicas[0]
         await deployment.wait_until_served("/write/x", adapter="a1")
-        engine.newest["a1"] = 2
+        engine.newest_versions["a1"] = 2
         await deployment.store.put(
             "versions", "m.a1", {"model": "m", "adapter": "a1", "version": 2}
         )
 
         async def new_version() -> bool:
-            engine.ran.clear()
+            engine.executed.clear()
             answer = await deployment.send_request("/write/x", adapter="a1")
-            return answer.status == 200 and "x-expect-version" in engine.ran[-1].headers
+            return answer.status == 200 and "x-expect-version" in engine.executed[-1].headers
 
         await until(new_version)
-        assert engine.held["a1"] == 2
-        assert engine.ran[-1].headers["x-expect-version"] == "2"
+        assert engine.loaded["a1"] == 2
+        assert engine.executed[-1].headers["x-expect-version"] == "2"
 
 
 async def test_more_adapters_than_places_are_served_without_eviction_in_use() -> None:
@@ -271,22 +271,22 @@
         assert {answer.status for answer in answers} <= {200, 503}
         assert sum(answer.status == 200 for answer in answers) >= 7
         assert engine.evicted_in_use == 0
-        assert engine.overfilled == 0
+        assert engine.overfill_count == 0
 
 
 async def test_orders_that_are_carried_out_late_do_not_overfill_the_engine() -> None:
     async with world() as deployment:
         engine = deployment.replicas[0]
         await deployment.wait_until_served("/write/x", adapter="a0")
-        engine.late_orders = True
+        engine.delays_orders = True
         await asyncio.gather(
             *(deployment.send_request("/write/x", adapter=f"b{n}") for n in range(5))
         )
-        engine.late_orders = False
+        engine.delays_orders = False
         await deployment.wait_until_served("/write/x", adapter="c1")
-        await asyncio.sleep(engine.late)
+        await asyncio.sleep(engine.order_delay)
         await deployment.wait_until_served("/write/x", adapter="c2")
-        assert engine.overfilled == 0
+        assert engine.overfill_count == 0
         assert engine.evicted_in_use == 0
 
 
@@ -307,7 +307,7 @@
     async with world() as deployment:
         await deployment.wait_until_served("/write/x", adapter="a1")
         empty = await deployment.add_replica(
-            Replica("llm", model="m", name="i-empty", without_model=True, model_time=1.5)
+            Replica("llm", model="m", name="i-empty", model_missing=True, model_time=1.5)
         )
         await deployment.store.delete("servers", "i-llm")
         await deployment.wait_until_served("/write/x", adapter="b1")
@@ -331,8 +331,8 @@
         await deployment.wait_until_served("/write/x", adapter="a1")
         engine.events = 100_000
         running_request = asyncio.create_task(deployment.send_request("/write/x", adapter="a1"))
-        await until_true(lambda: engine.using.get("a1"))
-        engine.newest["a1"] = 2
+        await until_true(lambda: engine.use_counts.get("a1"))
+        engine.newest_versions["a1"] = 2
         await deployment.store.put(
             "versions", "m.a1", {"model": "m", "adapter": "a1", "version": 2}
         )
@@ -340,14 +340,14 @@
         engine.events = 6
         await deployment.wait_until_served("/write/x", adapter="b1")
         assert (
-            engine.using["a1"] == 1
+            engine.use_counts["a1"] == 1
         )  # The first request still runs; the load did not wait for it.
-        assert engine.held["a1"] == 1
+        assert engine.loaded["a1"] == 1
         running_request.cancel()
         waiting_request.cancel()
         await asyncio.gather(running_request, waiting_request, return_exceptions=True)
         await deployment.wait_until_served("/write/x", adapter="a1")
-        assert engine.held["a1"] == 2
+        assert engine.loaded["a1"] == 2
 
 
 async def test_request_dispatched_before_its_adapter_was_loaded_waits_for_the_retry_budget() -> (
@@ -359,9 +359,9 @@
         retries = deployment.nodes[0]._retries
         retries.set_bounds(0.0, 0.0, 10.0)
         engine.load_time = 0.6  # Longer than expected, so the first dispatch comes too early.
-        engine.arrived.clear()
+        engine.received.clear()
         request = asyncio.create_task(deployment.send_request("/write/x", adapter="b1"))
-        await until_true(lambda: engine.arrived)
+        await until_true(lambda: engine.received)
         await asyncio.sleep(0.1)
         assert not request.done()
         retries.set_bounds(1.0, 100.0, 10.0)
--- a/tests/test_gateway_quarantine.py
+++ b/tests/test_gateway_quarantine.py
@@ -9,7 +9,7 @@
 
 import pytest
 from gateway_world import HOST, World, until, world
-from standins.replica import Replica, Trouble
+from standins.replica import Replica, ReplicaFault
 from wigeonarch_core.content_key import content_key
 from wigeonarch_gateway.messages import CrashReport
 from wigeonarch_gateway.suspects import BATCH_DELAY
@@ -30,9 +30,9 @@
             await deployment.add_replica(Replica("llm", model="m", name=f"i-llm{number}"))
         )
     for engine in engines:
-        engine.born = 1
-        engine.fatal = FATAL_BODY
-        engine.on_end = partial(write_entry, deployment, engine)
+        engine.incarnation = 1
+        engine.fatal_body = FATAL_BODY
+        engine.on_restarted = partial(write_entry, deployment, engine)
         await write_entry(deployment, engine)
     for node in range(len(deployment.nodes)):
         await deployment.wait_until_served(PATH, node=node)
@@ -46,7 +46,7 @@
 
 def crash_count(engines: list[Replica]) -> int:
     """Returns how often engines crashed."""
-    return sum(engine.ends for engine in engines)
+    return sum(engine.crash_count for engine in engines)
 
 
 async def send_until_quarantined(
@@ -164,7 +164,7 @@
             CrashReport("peer", [], [], [(FATAL_KEY, names)])
         )
         assert (await waiting).status == 503
-        arrived = [seen.body for engine in engines for seen in engine.arrived]
+        arrived = [seen.body for engine in engines for seen in engine.received]
         assert FATAL_BODY not in arrived
 
 
@@ -183,12 +183,12 @@
     async with world() as deployment:
         engines = await fragile_engines(deployment)
         for engine in engines:
-            engine.fatal = b""
+            engine.fatal_body = b""
         served = 0
         for engine in engines * 2:
-            engine.trouble = Trouble.CUT
+            engine.fault = ReplicaFault.CUT
             await deployment.send_request(PATH, FATAL_BODY, X_Model="m")
-            engine.trouble = Trouble.NONE
+            engine.fault = ReplicaFault.NONE
             served += (await deployment.send_request(PATH, FATAL_BODY, X_Model="m")).status == 200
         assert not await is_quarantined(deployment, 0)
         assert served
--- a/tests/test_gateway_rests.py
+++ b/tests/test_gateway_rests.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_world import World, until, until_true, world
-from standins.replica import Replica, Trouble
+from standins.replica import Replica, ReplicaFault
 
 NOTICE_TIME = 0.5  # Seconds after a refusal within which requests may still arrive.
 MAX_ARRIVALS = 2  # Requests of one instance that may arrive in the remaining cooldown.
@@ -15,11 +15,11 @@
 
 def most_in_a_cooldown(replica: Replica, cooldown: float) -> int:
     """Returns the largest number of requests that one instance sent in any of its cooldowns."""
-    arrivals = [(seen.at, seen.peer) for seen in replica.arrived] + replica.asked_at
+    arrivals = [(seen.at, seen.peer) for seen in replica.received] + replica.control_requests
     return max(
         (
             sum(peer == asked and at + NOTICE_TIME < t < at + cooldown for t, peer in arrivals)
-            for at, asked in replica.away_at
+            for at, asked in replica.rejections
         ),
         default=0,
     )
@@ -61,9 +61,9 @@
         await all_ready(deployment, service, 2)
         for node in range(2):
             await deployment.wait_until_served(path, node=node)
-        refusing.rest, refusing.trouble = cooldown, Trouble.SHED
+        refusing.retry_after, refusing.fault = cooldown, ReplicaFault.SHED
         statuses = await load(deployment, path, 3.0, model)
-        assert refusing.away_at
+        assert refusing.rejections
         assert most_in_a_cooldown(refusing, float(cooldown)) <= MAX_ARRIVALS
         assert statuses == [200] * len(statuses)
 
@@ -75,14 +75,14 @@
         desk = deployment.replicas[1]
         for node in range(2):
             await deployment.wait_until_served("/ask/x", node=node)
-        desk.rest, desk.trouble = "6", Trouble.SHED
+        desk.retry_after, desk.fault = "6", ReplicaFault.SHED
         await deployment.send_request("/ask/x")
-        arrived = len(desk.arrived)
-        desk.trouble = Trouble.NONE
+        arrived = len(desk.received)
+        desk.fault = ReplicaFault.NONE
         answers = [await deployment.send_request("/ask/x") for _ in range(3)]
         assert [answer.status for answer in answers] == [503] * 3
         assert all(1.0 < float(answer.headers["retry-after"]) <= 6.0 for answer in answers)
-        assert len(desk.arrived) == arrived
+        assert len(desk.received) == arrived
         # The other instance has no cooldown.
         assert (await deployment.send_request("/ask/x", node=1)).status == 200
 
@@ -91,9 +91,9 @@
     async with world(nodes=1) as deployment:
         desk = deployment.replicas[1]
         await deployment.wait_until_served("/ask/x")
-        desk.rest, desk.trouble = "1", Trouble.SHED
+        desk.retry_after, desk.fault = "1", ReplicaFault.SHED
         assert (await deployment.send_request("/ask/x")).status == 503
-        desk.trouble = Trouble.NONE
+        desk.fault = ReplicaFault.NONE
         await deployment.wait_until_served("/ask/x")
 
 
@@ -108,14 +108,14 @@
         owner = int(deployment.recorded_owner("i-llm").removeprefix("edge-"))
         for node in range(2):
             await deployment.wait_until_served("/write/x", node=node, adapter="a")
-        engine.rest, engine.trouble = "2.5", Trouble.SHED
+        engine.retry_after, engine.fault = "2.5", ReplicaFault.SHED
 
         async def asked() -> bool:
             await deployment.send_request("/write/x", node=owner, X_Model="m")
-            return bool(engine.away_at)
+            return bool(engine.rejections)
 
         await until(asked)
-        engine.trouble = Trouble.NONE
+        engine.fault = ReplicaFault.NONE
         end = time.monotonic() + 2.5
         statuses: list[int] = []
         # The other instance has no cooldown and requests adapter loads all the time.
--- a/tests/test_gateway_sharing.py
+++ b/tests/test_gateway_sharing.py
@@ -6,7 +6,7 @@
 
 import pytest
 from gateway_world import World, configuration, cut_from_store, new_store_contact, until_true, world
-from standins.store import Trouble
+from standins.store import StoreFault
 from wigeonarch_core.store_contact import StoreContact
 from wigeonarch_gateway.messages import FollowRequest, StoreUpdate, UpdateUnavailable
 from wigeonarch_gateway.node import Node
@@ -121,7 +121,7 @@
 async def test_followers_call_the_store_less_and_less_often_in_an_outage() -> None:
     async with world(nodes=INSTANCES) as found:
         follower_nodes = await wait_for_followers(found)
-        found.store.trouble = Trouble.BUSY
+        found.store.fault = StoreFault.BUSY
         await until_true(lambda: all(node._store_state.is_away for node in found.nodes))
         before = [count_store_reads(node) for node in found.nodes]
         await asyncio.sleep(2.0)
@@ -133,7 +133,7 @@
         asking = [node for node in found.nodes if node not in follower_nodes]
         assert len(asking) == 1
         assert all(calls[node._opts.instance] > most for node in asking)
-        found.store.trouble = Trouble.NONE
+        found.store.fault = StoreFault.NONE
         await found.store.put("config", "main", configuration(2))
         await until_true(lambda: versions(found.nodes) == {2})
 
@@ -145,10 +145,10 @@
         for node in found.nodes:
             node._endpoints.on_gone = dropped.append
         watching = watchers(found)
-        found.store.trouble = Trouble.BUSY
+        found.store.fault = StoreFault.BUSY
         await asyncio.sleep(1.5)
         await found.store.delete("servers", "i-desk")
-        found.store.trouble = Trouble.NONE
+        found.store.fault = StoreFault.NONE
         await until_true(lambda: not any(node._store_state.is_away for node in watching))
         await found.store.put("servers", "i-desk", found.replicas[1].record())
         await until_true(lambda: not any(node._store_state.is_away for node in found.nodes))
@@ -173,7 +173,7 @@
         for node in follower_nodes:
             node._links._deliver = lambda message: None
         await found.store.put("config", "main", configuration(2))
-        await found.store.forget_history()
+        await found.store.compact_history()
         await until_true(
             lambda: versions([n for n in found.nodes if n not in follower_nodes]) == {2}
         )
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -16,7 +16,7 @@
     until_true,
     world,
 )
-from standins.replica import Seen
+from standins.replica import ReceivedRequest
 
 KEY, SECOND, OTHER = "key-of-one", "second-of-one", "key-of-other"
 OPEN = route("open", "idempotent", "desk", public=True)
@@ -55,10 +55,10 @@
     async with world() as deployment:
         await put_teams(deployment, 2, team("one", KEY, SECOND), team("other", OTHER))
         for key, name in ((KEY, "one"), (SECOND, "one"), (OTHER, "other")):
-            deployment.replicas[1].ran.clear()
+            deployment.replicas[1].executed.clear()
             answer = await deployment.send_request("/ask/x", X_Tenant="claimed", **bearer(key))
             assert answer.status == 200
-            (seen,) = deployment.replicas[1].ran
+            (seen,) = deployment.replicas[1].executed
             assert seen.headers["x-tenant"] == name
             assert "authorization" not in seen.headers
 
@@ -81,17 +81,17 @@
         answer = await deployment.send_request(path, **headers)
         assert answer.status == status
         assert KEY.encode() not in answer.body
-        assert not deployment.replicas[1].arrived
+        assert not deployment.replicas[1].received
 
 
 async def test_public_route_needs_no_key_and_keys_are_not_forwarded() -> None:
     async with world() as deployment:
         await put_teams(deployment, 2, team("one", KEY))
         for headers, name in (({}, None), (bearer("unknown"), None), (bearer(KEY), "one")):
-            deployment.replicas[1].ran.clear()
+            deployment.replicas[1].executed.clear()
             answer = await deployment.send_request("/open/x", X_Tenant="claimed", **headers)
             assert answer.status == 200
-            (seen,) = deployment.replicas[1].ran
+            (seen,) = deployment.replicas[1].executed
             assert seen.headers.get("x-tenant") == name
             assert "authorization" not in seen.headers
 
@@ -102,7 +102,7 @@
         await put_teams(deployment, 3, team("one"), team("other", OTHER, KEY, SECOND))
         assert (await deployment.send_request("/ask/x", **bearer(SECOND))).status == 200
         assert (await deployment.send_request("/ask/x", **bearer(KEY))).status == 200
-        assert {seen.headers["x-tenant"] for seen in deployment.replicas[1].ran} == {"other"}
+        assert {seen.headers["x-tenant"] for seen in deployment.replicas[1].executed} == {"other"}
         await put_teams(deployment, 4, team("one"), team("other", OTHER))
         assert (await deployment.send_request("/ask/x", **bearer(KEY))).status == 401
 
@@ -116,7 +116,7 @@
         stream = asyncio.create_task(
             deployment.send_request("/write/x", adapter="a1", node=0, **bearer(KEY))
         )
-        await until_true(lambda: len(llm.ran) > 1)
+        await until_true(lambda: len(llm.executed) > 1)
         await put_teams(deployment, 3, team("one"))
         assert (
             await deployment.send_request("/write/x", adapter="a1", **bearer(KEY))
@@ -137,7 +137,7 @@
         await until(lambda: _streams(deployment))
         answer = await deployment.send_request("/write/x", adapter="a1", **bearer(OTHER))
         assert answer.status == 200
-        by_team = {seen.headers["x-tenant"]: seen for seen in deployment.replicas[0].ran}
+        by_team = {seen.headers["x-tenant"]: seen for seen in deployment.replicas[0].executed}
         assert by_team["one"].headers["x-request-priority"] == "7"
         assert by_team["other"].headers["x-request-priority"] == "1"
 
@@ -159,7 +159,7 @@
 MAX_IN_WINDOW = 8 * 1 + 3  # Requests that any window may hold.
 
 
-def most_in_a_window(ran: list[Seen]) -> int:
+def most_in_a_window(ran: list[ReceivedRequest]) -> int:
     times = [seen.at for seen in ran]
     return max(sum(at <= other < at + WINDOW for other in times) for at in times)
 
@@ -173,7 +173,7 @@
         refused = [answer for answer in answers if answer.status == 429]
         assert refused
         assert all(float(answer.headers["retry-after"]) > 0.0 for answer in refused)
-        assert len(deployment.replicas[1].arrived) == len(answers) - len(refused)
+        assert len(deployment.replicas[1].received) == len(answers) - len(refused)
         assert (await deployment.send_request("/ask/x", **bearer(OTHER))).status == 200
         assert (
             await wait_until_served(deployment, KEY)
@@ -197,7 +197,7 @@
                     for node in remaining * 4
                 )
             )
-        assert most_in_a_window(desk.ran) <= MAX_IN_WINDOW
+        assert most_in_a_window(desk.executed) <= MAX_IN_WINDOW
         for node in remaining:
             assert (await wait_until_served(deployment, KEY, node)).status == 200
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 import pytest
-from deploy_scripts import load
+from deploy_scripts import load_script
 
 
 @pytest.fixture(name="losses")
 def loaded() -> ModuleType:
-    return load("losses")
+    return load_script("losses")
 
 
 def day(worth: float, *troubles: str, **more: Any) -> dict[str, Any]:
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -51,7 +51,7 @@
     """Copies the packages without the mechanism; returns their source folders."""
     shutil.copytree(ROOT / "packages", folder / "packages", ignore=_compiled)
     module = folder / "packages" / row.module
-    module.write_text(module.read_text().replace(row.text, row.without))
+    module.write_text(module.read_text().replace(row.text, row.replacement))
     return [str(path) for path in sorted((folder / "packages").glob("*/src"))]
 
 
--- a/tests/test_pairs.py
+++ b/tests/test_pairs.py
@@ -9,14 +9,14 @@
 from types import ModuleType
 
 import pytest
-from deploy_scripts import load
+from deploy_scripts import load_script
 
 KINDS = ["burst", "hup", "lossy", "node_kill", "release", "zone_cut"]
 
 
 @pytest.fixture(scope="module")
 def pairs() -> ModuleType:
-    return load("pairs")
+    return load_script("pairs")
 
 
 @pytest.mark.parametrize("each", [2, 3, 5])
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -20,7 +20,7 @@
 )
 from wigeonarch_gateway.sharing import OWN_CALL_TIME
 from wigeonarch_platform import dialect, records
-from wigeonarch_platform.settings import BadSettings, read_settings
+from wigeonarch_platform.settings import SettingsError, read_settings
 from wigeonarch_platform.store import WATCH_MARGIN
 
 GOOD = {
@@ -81,7 +81,7 @@
     ],
 )
 def test_a_senseless_setting_is_named(changes: dict[str, str | None], named: str) -> None:
-    with pytest.raises(BadSettings, match=named.replace(".", r"\.")):
+    with pytest.raises(SettingsError, match=named.replace(".", r"\.")):
         read_settings(text(**changes))
 
 
@@ -195,7 +195,7 @@
         (b"Last-Event-Id", b"2"),
         (b"X-Model", b"m/a"),
     ]
-    found = dialect.forward(sent, Dispatch("i-1", 1.2345, 2, 4, "7"))
+    found = dialect.endpoint_headers(sent, Dispatch("i-1", 1.2345, 2, 4, "7"))
     assert found == [
         (b"Host", b"x.example"),
         (b"X-Request-Id", b"r1"),
@@ -209,7 +209,7 @@
 
 
 def test_a_caller_that_goes_on_with_a_stream_keeps_its_place() -> None:
-    found = dict(dialect.forward([(b"Last-Event-Id", b"2")], Dispatch("i-1", 1.0)))
+    found = dict(dialect.endpoint_headers([(b"Last-Event-Id", b"2")], Dispatch("i-1", 1.0)))
     assert found[b"Last-Event-Id"] == b"2"
 
 
@@ -239,7 +239,7 @@
 def test_what_an_answer_says(
     status: int, headers: tuple[tuple[bytes, bytes], ...], expected: Verdict
 ) -> None:
-    assert dialect.judge("r1", ResponseHead(status, headers)) is expected
+    assert dialect.classify_response("r1", ResponseHead(status, headers)) is expected
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policy_bench.py
+++ b/tests/test_policy_bench.py
@@ -19,7 +19,7 @@
     EngineSpec,
     Request,
     Workload,
-    arrivals,
+    draw_arrivals,
     read_workload,
 )
 from wigeonarch_fakes.bench_world import World
@@ -59,9 +59,9 @@
 
 def test_arrivals_depend_on_the_seed_alone() -> None:
     workload, deployment = short("gm-skew-100")
-    drawn = [(each.arrival, each.target) for each in arrivals(workload, deployment, 1)]
-    again = [(each.arrival, each.target) for each in arrivals(workload, deployment, 1)]
-    other = [(each.arrival, each.target) for each in arrivals(workload, deployment, 2)]
+    drawn = [(each.arrival, each.target) for each in draw_arrivals(workload, deployment, 1)]
+    again = [(each.arrival, each.target) for each in draw_arrivals(workload, deployment, 1)]
+    other = [(each.arrival, each.target) for each in draw_arrivals(workload, deployment, 2)]
     assert drawn == again
     assert drawn != other
 
@@ -98,14 +98,14 @@
     # One step alone (11 ms), nine together (12 ms each), one alone.
     assert early.ended == pytest.approx(1.0 + 0.011 + 9 * 0.012)
     assert late.ended == pytest.approx(early.ended + 0.011)
-    assert (engine.figures.steps, engine.figures.filled) == (11, 20)
+    assert (engine.figures.steps, engine.figures.request_steps) == (11, 20)
 
 
 def test_engine_measures_stalls_and_counts_harmful_evictions() -> None:
     clock = Clock()
     engine = Engine("e", "z", SPEC, clock, Store(clock, 2.0, random.Random(1)))
     waiting = request(1)
-    engine.wait_here(waiting)
+    engine.begin_wait(waiting)
     engine.load(FIRST, None, lambda ok: None)
     clock.run(1.0)
     assert engine.submit(waiting)
@@ -130,7 +130,7 @@
     world = World(workload, deployment, 1)
     opts = PolicyOptions(load_rate=deployment.load_rate)
     build = BASELINES.get(policy)
-    world.run(build(world) if build else bench_serving.build(world, opts))
+    world.run(build(world) if build else bench_serving.build_policy(world, opts))
     figures = measure(world)
     assert figures.violations == 0
     assert figures.served + sum(figures.refusals.values()) == figures.requests
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -23,15 +23,15 @@
 def whole(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Deployment]:
     folder: Path = tmp_path_factory.mktemp("whole")
     with deployment(folder) as dep:
-        dep.platform()
+        dep.start_platform()
         for zone in ENTRIES.values():
-            dep.endpoint("engine", f"engine-{zone}", zone, "drafting", "--load-ms", "20")
-        dep.endpoint("service", "orders-1", "zone-a", "orders")
+            dep.start_endpoint("engine", f"engine-{zone}", zone, "drafting", "--load-ms", "20")
+        dep.start_endpoint("service", "orders-1", "zone-a", "orders")
         for name, zone in ENTRIES.items():
-            dep.entry(name, zone)
-        dep.ready(*ENTRIES)
+            dep.start_entry(name, zone)
+        dep.wait_ready(*ENTRIES)
         for args in SETUP:
-            code, output = dep.ctl("entry-a", *args)
+            code, output = dep.run_ctl("entry-a", *args)
             assert code == 0, output
         yield dep
 
@@ -57,5 +57,5 @@
     ]
     assert [status for status, _, _ in answers] == [200, 200], answers
     assert answers[0][1] == answers[1][1]
-    runs = [run for run in whole.record("orders-1")["runs"] if run["key"] == "confirm-17"]
+    runs = [run for run in whole.read_record("orders-1")["runs"] if run["key"] == "confirm-17"]
     assert len(runs) == 1
--- a/tests/test_quota_bank.py
+++ b/tests/test_quota_bank.py
@@ -35,20 +35,20 @@
     rate: float, zones: int, per_zone: int, seed: int
 ) -> None:
     world = World(zones, per_zone, quota(rate), seed)
-    world.play(60.0, load_with_hot_phase(world.quota, 12.0))
-    assert world.worst() <= 1.0, world.events
+    world.run(60.0, load_with_hot_phase(world.quota, 12.0))
+    assert world.worst_window() <= 1.0, world.events
 
 
 @pytest.mark.parametrize("times", [2.0, HOT])
 @pytest.mark.parametrize("seed", range(3))
 def test_bound_holds_when_all_instances_restart_in_a_hot_phase(times: float, seed: int) -> None:
-    world = World(3, 8, quota(95_140.0), seed, troubles=False)
+    world = World(3, 8, quota(95_140.0), seed, random_faults=False)
     load = load_with_hot_phase(world.quota, 20.0, times)
-    world.play(21.5, load)
+    world.run(21.5, load)
     for instance in world.instances:
         world.kill(instance)
-    world.play(45.0, load)
-    assert world.worst() <= 1.0
+    world.run(45.0, load)
+    assert world.worst_window() <= 1.0
 
 
 def play_split(world: World, until: float, hot_for: float) -> None:
@@ -56,10 +56,10 @@
     calm = 0.2 * USUAL * world.quota.rate
     hot = HOT * USUAL * world.quota.rate
     load = lambda now: hot if now >= until - hot_for else calm  # noqa: E731
-    world.play(14.0, load)
+    world.run(14.0, load)
     for instance in world.instances[::2]:
         instance.split_until = until
-    world.play(until + 14.0, load)
+    world.run(until + 14.0, load)
 
 
 @pytest.mark.parametrize(("zones", "per_zone"), [(1, 8), (3, 6)])
@@ -69,52 +69,52 @@
     zones: int, per_zone: int, until: float, hot_for: float
 ) -> None:
     for seed in range(3):
-        world = World(zones, per_zone, quota(95_140.0), seed, troubles=False)
+        world = World(zones, per_zone, quota(95_140.0), seed, random_faults=False)
         play_split(world, until, hot_for)
-        assert world.worst() <= 1.0
+        assert world.worst_window() <= 1.0
 
 
 @pytest.mark.parametrize("rate", [2_700.0, 15_000.0, 95_140.0])
 @pytest.mark.parametrize(("zones", "per_zone"), [(1, 6), (3, 20)])
 def test_team_within_its_quota_is_served(rate: float, zones: int, per_zone: int) -> None:
-    world = World(zones, per_zone, quota(rate), 1, troubles=False, loss=0.0)
-    world.play(10.0, lambda now: 0.0)
-    world.play(60.0, lambda now: USUAL * rate)
+    world = World(zones, per_zone, quota(rate), 1, random_faults=False, loss=0.0)
+    world.run(10.0, lambda now: 0.0)
+    world.run(60.0, lambda now: USUAL * rate)
     assert world.goodput() >= 0.95
 
 
 def test_lasting_load_gets_most_of_what_the_bound_allows() -> None:
-    world = World(3, 8, quota(95_140.0), 1, troubles=False, loss=0.0)
-    world.play(60.0, load_with_hot_phase(world.quota, 12.0))
-    late = sum(cost for at, cost in world.given if at >= 28.0)
+    world = World(3, 8, quota(95_140.0), 1, random_faults=False, loss=0.0)
+    world.run(60.0, load_with_hot_phase(world.quota, 12.0))
+    late = sum(cost for at, cost in world.admitted if at >= 28.0)
     assert late >= 0.8 * BOUNDS.bound(world.quota) * (60.0 - 28.0) / BOUNDS.window
 
 
 def test_zones_without_callers_lend_to_others() -> None:
     rate = 30_000.0
-    world = World(3, 6, quota(rate), 1, troubles=False, loss=0.0, calling={0})
-    world.play(12.0, lambda now: 0.0)
-    world.play(60.0, lambda now: USUAL * rate)
+    world = World(3, 6, quota(rate), 1, random_faults=False, loss=0.0, called_zones={0})
+    world.run(12.0, lambda now: 0.0)
+    world.run(60.0, lambda now: USUAL * rate)
     assert world.goodput() >= 0.95
 
 
 def test_lowered_quota_binds_after_one_window() -> None:
-    world = World(3, 8, quota(95_140.0), 3, troubles=False)
-    world.play(20.0, lambda now: 50_000.0)
+    world = World(3, 8, quota(95_140.0), 3, random_faults=False)
+    world.run(20.0, lambda now: 50_000.0)
     world.quota = quota(15_000.0)
-    world.play(60.0, lambda now: 50_000.0)
-    assert world.worst(since=20.0 + BOUNDS.window) <= 1.0
+    world.run(60.0, lambda now: 50_000.0)
+    assert world.worst_window(since=20.0 + BOUNDS.window) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_changing_quota_never_exceeds_the_highest_of_a_window(seed: int) -> None:
     world = World(3, 6, quota(40_000.0), seed)
     for number, rate in enumerate((20_000.0, 40_000.0, 10_000.0, 40_000.0, 40_000.0)):
-        world.play(20.0 + 7.0 * number, lambda now: 200_000.0)
+        world.run(20.0 + 7.0 * number, lambda now: 200_000.0)
         world.quota = quota(rate)
     world.quota = quota(40_000.0)
-    world.play(70.0, lambda now: 200_000.0)
-    assert world.worst() <= 1.0
+    world.run(70.0, lambda now: 200_000.0)
+    assert world.worst_window() <= 1.0
 
 
 # Planted defects.
@@ -194,14 +194,14 @@
     monkeypatch: pytest.MonkeyPatch, defect: Callable[[pytest.MonkeyPatch], dict[str, Any]]
 ) -> None:
     options = defect(monkeypatch)
-    world = World(1, 8, quota(95_140.0), 1, troubles=False, **options)
+    world = World(1, 8, quota(95_140.0), 1, random_faults=False, **options)
     play_split(world, 26.0, 2.0)
-    if world.worst() > 1.0:
+    if world.worst_window() > 1.0:
         return
     for seed, shape in itertools.product(range(12), [(1, 4), (3, 6)]):
         world = World(*shape, quota(95_140.0), seed, **options)
-        world.play(60.0, load_with_hot_phase(world.quota, 12.0))
-        if world.worst() > 1.0:
+        world.run(60.0, load_with_hot_phase(world.quota, 12.0))
+        if world.worst_window() > 1.0:
             return
     pytest.fail("no seed shows the defect")
 
--- a/tests/test_quota_ways.py
+++ b/tests/test_quota_ways.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import pytest
-from wigeonarch_fakes.quota_bench import SCENARIOS, Row, play, row
+from wigeonarch_fakes.quota_bench import SCENARIOS, Row, run_scenario, summarize_runs
 
 BY_NAME = {scenario.name: scenario for scenario in SCENARIOS}
 
 
 def figures(way: str, scenario: str) -> Row:
-    return row(way, BY_NAME[scenario], [play(way, BY_NAME[scenario], 1)])
+    return summarize_runs(way, BY_NAME[scenario], [run_scenario(way, BY_NAME[scenario], 1)])
 
 
 @pytest.mark.parametrize("scenario", sorted(BY_NAME))
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -41,7 +41,7 @@
     assert isinstance(before, Listing)
     old = before.objects[0]
     standin.take_copy()
-    await standin.come_back_older()
+    await standin.restore_copy()
     after = await store.get(ObjectKind.LEASES, "a")
     assert isinstance(after, StoredObject)
     assert after.revision > before.as_of
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -62,7 +62,7 @@
         seed, seconds, gateways=4, callers=10, all_faults=True, teams=True
     )
     assert not broken
-    assert any(seen.status == 429 for seen in played.answers.values())
+    assert any(seen.status == 429 for seen in played.responses.values())
 
 
 # With a request under which engines end, and a plain endpoint that names limits; endpoints that say
@@ -79,5 +79,7 @@
 async def test_no_promise_is_broken_to_endpoints_in_need(
     seed: int, seconds: float, gateways: int, callers: int
 ) -> None:
-    _, broken = await soak.run(seed, seconds, gateways, callers, all_faults=True, needs=True)
+    _, broken = await soak.run(
+        seed, seconds, gateways, callers, all_faults=True, endpoint_checks=True
+    )
     assert not broken
--- a/tests/test_teams.py
+++ b/tests/test_teams.py
@@ -166,7 +166,7 @@
         (b"x-tenant", b"claimed again"),
         (b"X_Tenant", b"claimed otherwise"),
     ]
-    forwarded = dialect.forward(sent, dispatch)
+    forwarded = dialect.endpoint_headers(sent, dispatch)
     names = {b"authorization", b"x-tenant", b"x_tenant"}
     assert [pair for pair in forwarded if pair[0].lower() in names] == expected
 
@@ -204,7 +204,7 @@
 ) -> None:
     raw = [(name.encode(), value.encode()) for name, value in sent]
     dispatch = Dispatch("i-1", 1.0, 1, 1, resume_after, requires_key=True, team="hule930")
-    forwarded = dialect.forward(raw, dispatch)
+    forwarded = dialect.endpoint_headers(raw, dispatch)
     plain = [(name.lower().replace(b"_", b"-"), value) for name, value in forwarded]
     assert [value for name, value in plain if name == b"x-tenant"] == [b"hule930"]
     assert b"authorization" not in dict(plain)
--- a/tests/test_verification.py
+++ b/tests/test_verification.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 import pytest
-from deploy_scripts import load
+from deploy_scripts import load_script
 
 
 @pytest.fixture(scope="module")
 def verification() -> ModuleType:
-    return load("verification")
+    return load_script("verification")
 
 
 def entry(cmd: str, *days: dict[str, Any], score: float | None = None) -> dict[str, Any]:
