--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/load.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/load.py
@@ -1,8 +1,9 @@
-"""The load tool: open-loop arrivals of streamed completions, with histograms of what callers see.
+"""Open-loop load generator: sends streamed completions and records latency histograms.
 
-Arrivals are a Poisson process fixed by the seed: a request is sent at its time whether or not
-earlier ones have been answered, so a slow system is not asked less. Latency counts from the time
-at which a request was due, which keeps waits in the tool itself from being left out.
+Arrivals follow a Poisson process that is determined by the seed. Each request is sent at its
+scheduled time, whether or not earlier ones have been answered, so that a slow system does not get
+fewer requests. Latency is measured from the scheduled time, so that it includes delays in the
+load generator itself.
 """
 
 from __future__ import annotations
@@ -29,19 +30,19 @@
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """What to send.
+    """Describes the load of one run.
 
     Attributes:
-        targets: `IP:PORT` of the doors, used in turn.
+        targets: `IP:PORT` of the HTTP servers, used round-robin.
         service: Name of the model service.
         adapters: Number of adapters, named `a0`, `a1` and so on.
-        skew: Exponent of the Zipf popularity; 0 for equal shares.
-        rate: Requests a second.
-        seconds: Length of the run.
+        skew: Exponent of the Zipf distribution of requests over adapters; 0 for equal shares.
+        rate: Requests per second.
+        seconds: Length of the run, in seconds.
         tokens: Tokens per request.
-        deadline_ms: Deadline of each request.
-        callers: Number of callers, used in turn.
-        seed: Seed of arrivals and choices.
+        deadline_ms: Deadline of each request, in milliseconds.
+        callers: Number of callers; each request has one picked at random.
+        seed: Seed of the arrival times and of the choices of adapter and caller.
     """
 
     targets: tuple[str, ...]
@@ -57,7 +58,7 @@
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """One request to send: `at` seconds after the start."""
+    """One request to send, `at` seconds after the start of the run."""
 
     at: float
     target: str
@@ -66,21 +67,29 @@
 
 
 def schedule(plan: Plan) -> list[Arrival]:
-    """Returns all requests of a run; the same for the same plan."""
+    """Returns all arrivals of a run; equal plans give equal arrivals."""
     rng = Random(plan.seed)
     weights = [(rank + 1) ** -plan.skew for rank in range(plan.adapters)]
-    shots: list[Arrival] = []
+    arrivals: list[Arrival] = []
     at = rng.expovariate(plan.rate)
     while at < plan.seconds:
         adapter = rng.choices(range(plan.adapters), weights)[0] if plan.adapters > 1 else 0
-        target = plan.targets[len(shots) % len(plan.targets)]
-        shots.append(Arrival(at, target, adapter, rng.randrange(plan.callers)))
+        target = plan.targets[len(arrivals) % len(plan.targets)]
+        arrivals.append(Arrival(at, target, adapter, rng.randrange(plan.callers)))
         at += rng.expovariate(plan.rate)
-    return shots
+    return arrivals
 
 
 class Results:
-    """What callers saw."""
+    """Latency and outcomes as callers see them.
+
+    Attributes:
+        first_token: Latency to the first token, in microseconds.
+        between_tokens: Time between tokens, in microseconds.
+        total: Latency of the complete answer, in microseconds.
+        outcomes: Number of requests by outcome.
+        tokens: Tokens received.
+    """
 
     __slots__ = ("between_tokens", "first_token", "outcomes", "tokens", "total")
 
@@ -92,7 +101,7 @@
         self.tokens = 0
 
     def document(self, seconds: float) -> dict[str, Any]:
-        """Returns the figures as a document; times are milliseconds."""
+        """Returns the results of a run that took `seconds`; latencies are in milliseconds."""
         return {
             "ends": dict(sorted(self.outcomes.items())),
             "answered_per_s": round(self.outcomes["answered"] / seconds, 2),
@@ -104,42 +113,42 @@
 
 
 def _percentiles(histogram: Any) -> dict[str, float]:
-    found = {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES}
-    return {name: round(value, 3) for name, value in found.items()}
+    values = {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES}
+    return {name: round(value, 3) for name, value in values.items()}
 
 
 def record_latency(histogram: Any, seconds: float) -> None:
-    """Records a duration in a histogram of microseconds."""
+    """Records a duration in a histogram of microseconds, clamped to its range."""
     histogram.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, math.ceil(seconds * US_PER_S))))
 
 
 async def run(plan: Plan, arrivals: Sequence[Arrival] | None = None) -> Results:
-    """Sends all requests of a plan and waits for their ends."""
+    """Sends all requests of a plan and waits until they have finished."""
     results = Results()
     loop = asyncio.get_running_loop()
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         start = loop.time()
         tasks = []
-        for shot in arrivals if arrivals is not None else schedule(plan):
-            await asyncio.sleep(max(0.0, start + shot.at - loop.time()))
-            work = _send(session, plan, shot, start + shot.at, results)
-            tasks.append(asyncio.create_task(work))
+        for arrival in arrivals if arrivals is not None else schedule(plan):
+            await asyncio.sleep(max(0.0, start + arrival.at - loop.time()))
+            request = _send(session, plan, arrival, start + arrival.at, results)
+            tasks.append(asyncio.create_task(request))
         await asyncio.gather(*tasks)
     return results
 
 
 async def _send(
-    session: aiohttp.ClientSession, plan: Plan, shot: Arrival, due: float, results: Results
+    session: aiohttp.ClientSession, plan: Plan, arrival: Arrival, due: float, results: Results
 ) -> None:
     doc = {
-        "model": f"{plan.service}/a{shot.adapter}",
+        "model": f"{plan.service}/a{arrival.adapter}",
         "prompt": "load",
         "max_tokens": plan.tokens,
         "stream": True,
     }
-    headers = {"X-Caller": f"caller-{shot.caller}", "X-Deadline-Ms": str(plan.deadline_ms)}
-    url = f"http://{shot.target}/v1/completions"
+    headers = {"X-Caller": f"caller-{arrival.caller}", "X-Deadline-Ms": str(plan.deadline_ms)}
+    url = f"http://{arrival.target}/v1/completions"
     timeout = aiohttp.ClientTimeout(total=plan.deadline_ms / 1000.0 + 10.0)
     try:
         async with session.post(url, json=doc, headers=headers, timeout=timeout) as resp:
@@ -158,7 +167,7 @@
 
 
 async def _read_stream(resp: aiohttp.ClientResponse, due: float, results: Results) -> None:
-    """Reads server-sent events to their end."""
+    """Reads the server-sent events of one answer and records its latency and outcome."""
     loop = asyncio.get_running_loop()
     last = due
     seen = 0
@@ -184,15 +193,17 @@
 
 
 def main() -> None:
-    """Runs the load tool as a program; prints one JSON document."""
-    parser = argparse.ArgumentParser(description="open-loop load on wigeonarch's HTTP doors")
+    """Runs the load generator as a program; prints the results as JSON."""
+    parser = argparse.ArgumentParser(
+        description="open-loop load generator for wigeonarch's HTTP servers"
+    )
     parser.add_argument("--targets", required=True, help="comma-separated IP:PORT on loopback")
     for field in msgspec.structs.fields(Plan):
         if field.name != "targets":
             option = "--" + field.name.replace("_", "-")
             parser.add_argument(option, type=type(field.default), default=field.default)
-    given = vars(parser.parse_args())
-    plan = Plan(targets=tuple(given.pop("targets").split(",")), **given)
+    options = vars(parser.parse_args())
+    plan = Plan(targets=tuple(options.pop("targets").split(",")), **options)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         results = runner.run(run(plan))
     document = {"plan": msgspec.to_builtins(plan), "results": results.document(plan.seconds)}
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/many.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/many.py
@@ -1,7 +1,8 @@
-"""Hosts many engine stand-ins in one process, so that sizes can be measured on one machine.
+"""Hosts many engine stand-ins in one process, so that large deployments fit on one machine.
 
-The engines are put on the platform's list before the ready line is printed. Their steps are long
-and their reports short, so that what is measured is the entry instance and not the stand-ins.
+The engines are registered in the platform's instance list before the ready line is printed. Their
+steps are long and their reports short, so that benchmarks measure the entry instance rather than
+the stand-ins.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class HostedEngines:
-    """The hosted engines.
+    """Engine stand-ins hosted in this process.
 
     Attributes:
         address: Address of the first engine.
@@ -37,7 +38,7 @@
 async def host_engines(
     platform: str, zones: list[str], service: str, count: int, settings: Settings
 ) -> HostedEngines:
-    """Starts `count` engines, spread over the zones, and puts them on the platform's list."""
+    """Starts `count` engines spread over the zones and registers them with the platform."""
     engines: dict[str, RunningEngine] = {}
     async with aiohttp.ClientSession() as session:
         for number in range(count):
@@ -59,7 +60,7 @@
 
 
 def main() -> None:
-    """Runs the engines as a program."""
+    """Runs the hosted engines as a program."""
     parser = serving.common_parser("many stand-ins for model engines in one process")
     parser.add_argument("--platform", required=True, metavar="IP:PORT")
     parser.add_argument("--zones", required=True, help="comma-separated")
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform.py
@@ -1,16 +1,19 @@
-"""Stand-in for the platform: the object API with watches and the lagging list of instances.
-
-Faults (``POST /_control/faults``, merged into the current ones; null or 0 clears):
-
-* ``down``: answer 503 to everything and end open watches.
-* ``swallow``: accept requests, carry nothing out and never answer; open watches stay open but mute.
-* ``delay_ms``: wait before each request is handled.
-* ``lose_answers``: the next N writes take effect, then the connection closes without an answer.
-* ``mute_watches``: the watches open now send nothing any more; later ones work.
-* ``list_lag_s``: how far the list of instances is behind.
-* ``freeze_list``: the list of instances doesn't change any more.
-* ``blocked_callers``: values of ``X-Instance`` or ``X-Zone`` whose connections are closed.
-* ``writes_per_s``, ``reads_per_s``: rate limits, 0 for none; the burst is one second's worth.
+"""Stand-in for the platform: the object store with watches, and the lagging instance list.
+
+Faults (``POST /_control/faults``, merged into the current ones; null or 0 clears a fault):
+
+* ``down``: all calls are answered with 503, and open watches are ended.
+* ``swallow``: calls are accepted but neither executed nor answered; open watches stay open and
+  send nothing.
+* ``delay_ms``: each call is handled only after this delay.
+* ``lose_answers``: the next N writes take effect, but their connections are closed without a
+  response.
+* ``mute_watches``: the watches open now send nothing more; watches opened later work.
+* ``list_lag_s``: lag of the instance list, in seconds.
+* ``freeze_list``: the instance list stays as it is.
+* ``blocked_callers``: values of the headers ``X-Instance`` or ``X-Zone``; connections of these
+  callers are closed.
+* ``writes_per_s``, ``reads_per_s``: rate limits, 0 for none; the burst is the limit of one second.
 """
 
 from __future__ import annotations
@@ -37,7 +40,7 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """The faults in force."""
+    """Active faults; see the module docstring."""
 
     down: bool | int = False
     swallow: bool | int = False
@@ -52,7 +55,7 @@
 
 
 class CallCounts:
-    """Counts of calls, by kind and method and by second."""
+    """Number of calls by method and kind, and the highest number in one second."""
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
@@ -71,7 +74,7 @@
 
 
 def expected_version(request: web.Request) -> int | None:
-    """Return the version that a conditional write asks for; None when it has no condition."""
+    """Return the version that a conditional write expects; None if it has no condition."""
     if request.headers.get("If-None-Match") == ANY_VERSION:
         return 0
     tag = request.headers.get("If-Match")
@@ -79,7 +82,7 @@
 
 
 def call_key(request: web.Request) -> str:
-    """Name the method and kind of a call, for the counts."""
+    """Return the method and kind of a call as a key of the call counts."""
     parts = request.path.split("/")
     family = parts[2] if len(parts) > 2 else ""
     if family == "watch":
@@ -88,7 +91,7 @@
 
 
 class Platform:
-    """The platform's state and its HTTP handlers."""
+    """State and HTTP handlers of the platform."""
 
     def __init__(self, history: int = MAX_HISTORY) -> None:
         self.faults = Faults()
@@ -121,7 +124,7 @@
         return app
 
     def apply_faults(self, change: bytes) -> None:
-        """Merge a JSON document into the faults in force."""
+        """Merge a JSON document into the active faults."""
         before = self.faults
         self.faults = faults = serving.merge_document(before, change)
         if faults.mute_watches and not before.mute_watches:
@@ -180,8 +183,8 @@
         self, request: web.Request, handler: serving.Handler
     ) -> web.StreamResponse:
         response = await handler(request)
-        is_done_write = request.method in WRITE_METHODS and response.status == 200
-        if is_done_write and self.faults.lose_answers > 0:
+        is_successful_write = request.method in WRITE_METHODS and response.status == 200
+        if is_successful_write and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             self.counts.refused["answer_lost"] += 1
             return serving.drop_connection(request)
@@ -196,8 +199,8 @@
     async def _list(self, request: web.Request) -> web.Response:
         limit = max(1, int(request.query.get("limit", DEFAULT_PAGE_SIZE)))
         after = request.query.get("after", "")
-        items, more = self.objects.page(request.match_info["kind"], after, limit)
-        document = {"items": items, "revision": self.objects.revision, "more": more}
+        items, has_more = self.objects.page(request.match_info["kind"], after, limit)
+        document = {"items": items, "revision": self.objects.revision, "more": has_more}
         return serving.json_response(document)
 
     async def _put(self, request: web.Request) -> web.Response:
@@ -280,7 +283,7 @@
         return serving.json_response(self.record())
 
     def record(self) -> dict[str, Any]:
-        """Return what the platform really did and holds."""
+        """Return the calls received and the objects and instances stored."""
         return {
             "calls": dict(self.counts.calls),
             "refused": dict(self.counts.refused),
@@ -302,7 +305,7 @@
 
 
 class RunningPlatform:
-    """A started platform."""
+    """A running platform with its HTTP server."""
 
     __slots__ = ("_server", "address", "platform")
 
@@ -312,7 +315,7 @@
         self._server = server
 
     async def stop(self) -> None:
-        """Stop serving."""
+        """Stop the HTTP server."""
         await self._server.stop()
 
 
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform_objects.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/platform_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform stand-in: versions, conditional writes, watches and their history."""
+"""Object store of the platform stand-in: versions, conditional writes, watches and history."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Change(msgspec.Struct, omit_defaults=True):
-    """One line of a watch; its tag field is ``type``."""
+    """One line of a watch: a put, a delete or a bookmark."""
 
     type: str
     version: int
@@ -26,8 +26,8 @@
     value: msgspec.Raw | msgspec.UnsetType = msgspec.UNSET
 
 
-class Conflict(Exception):  # noqa: N818 - the protocol's own word
-    """A conditional write met another version."""
+class Conflict(Exception):  # noqa: N818 - term of the protocol
+    """A conditional write expected another version than the present one."""
 
     def __init__(self, version: int) -> None:
         super().__init__(f"present version is {version}")
@@ -35,7 +35,7 @@
 
 
 class Watch:
-    """One open watch: the lines that wait to be sent."""
+    """One open watch with the changes that are still to be sent."""
 
     __slots__ = ("muted", "pending", "wake")
 
@@ -45,13 +45,18 @@
         self.muted = False
 
     def push(self, change: Change) -> None:
-        """Queue a line."""
+        """Queue a change and wake the sender."""
         self.pending.append(change)
         self.wake.set()
 
 
 class ObjectStore:
-    """Versioned objects by kind and name, with a bounded history of changes."""
+    """Versioned objects by kind and name, with a bounded history of changes.
+
+    Attributes:
+        revision: Number of the last write; it becomes the version of the object written.
+        compacted: Highest revision that was dropped from the history.
+    """
 
     def __init__(self, history: int) -> None:
         self.revision = 0
@@ -67,14 +72,18 @@
         return self.kinds.get(kind, {}).get(name)
 
     def page(self, kind: str, after: str, limit: int) -> tuple[list[Item], bool]:
-        """Return up to ``limit`` objects after a name, and whether there are more."""
+        """Return up to ``limit`` objects with names after ``after``, and whether there are more."""
         names = self._names.get(kind, [])
         first = bisect.bisect_right(names, after) if after else 0
         items = [self.kinds[kind][name] for name in names[first : first + limit]]
         return items, first + limit < len(names)
 
     def put(self, kind: str, name: str, expected: int, value: bytes) -> int:
-        """Write an object whose present version must be ``expected`` (0 when absent)."""
+        """Write an object and return its new version.
+
+        Raises:
+            Conflict: The present version is not ``expected`` (0 if the object must not exist).
+        """
         present = self._check_version(kind, name, expected)
         self.revision += 1
         item = Item(name, self.revision, msgspec.Raw(value))
@@ -85,7 +94,11 @@
         return self.revision
 
     def delete(self, kind: str, name: str, expected: int) -> int:
-        """Delete an object whose present version must be ``expected``."""
+        """Delete an object and return the revision of the deletion.
+
+        Raises:
+            Conflict: The object does not exist or its present version is not ``expected``.
+        """
         if self._check_version(kind, name, expected) is None:
             raise Conflict(0)
         self.revision += 1
@@ -96,15 +109,15 @@
         return self.revision
 
     def changes_since(self, kind: str, revision: int) -> list[Change]:
-        """Return the changes of one kind after a revision that isn't compacted."""
-        found: list[Change] = []
-        for changed, change in reversed(self._history):
+        """Return the changes of one kind after a revision that is not compacted yet."""
+        changes: list[Change] = []
+        for changed_kind, change in reversed(self._history):
             if change.version <= revision:
                 break
-            if changed == kind:
-                found.append(change)
-        found.reverse()
-        return found
+            if changed_kind == kind:
+                changes.append(change)
+        changes.reverse()
+        return changes
 
     def _check_version(self, kind: str, name: str, expected: int) -> Item | None:
         present = self.get(kind, name)
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/processes.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/processes.py
@@ -1,4 +1,4 @@
-"""Starts the system's programs as separate processes on loopback ports, and ends them."""
+"""Starts entry instances and stand-ins as separate processes on loopback ports, and stops them."""
 
 from __future__ import annotations
 
@@ -27,39 +27,45 @@
 
 
 def free_address() -> str:
-    """Returns a loopback address whose port nobody takes before the program it is meant for.
+    """Returns a loopback address whose port stays free for the program that will listen on it.
 
-    Ports come from below the range that outgoing connections use. The UDP port of the same number
-    stays bound as long as this process runs, so that others who start programs pass it over.
+    Ports are below the range used for outgoing connections. The UDP port of the same number stays
+    bound while this process runs, so that other processes that call this function skip the port.
     """
     while True:
         port = random.randrange(*PORT_RANGE)
-        claim = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        reservation = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            claim.bind((LOOPBACK, port))
+            reservation.bind((LOOPBACK, port))
             with socket.socket() as probe:
                 probe.bind((LOOPBACK, port))
         except OSError:
-            claim.close()
+            reservation.close()
             continue
-        _reserved_ports.append(claim)
+        _reserved_ports.append(reservation)
         return f"{LOOPBACK}:{port}"
 
 
 def wait_for(condition: Callable[[], bool], description: str, timeout_s: float = TIMEOUT_S) -> None:
-    """Waits until a condition holds; a generous bound, never a verdict on speed."""
+    """Polls until a condition holds; the timeout is generous and does not test speed."""
     until = time.monotonic() + timeout_s
     while not condition():
         assert time.monotonic() < until, f"not within {timeout_s} s: {description}"
-        time.sleep(
-            POLL_INTERVAL_S
-        )  # The condition is in another process, so it can only be asked again.
+        # The condition depends on another process, which sends no notification.
+        time.sleep(POLL_INTERVAL_S)
 
 
 def call(
     method: str, url: str, doc: Any = None, headers: dict[str, str] | None = None
 ) -> tuple[int, Any, dict[str, str]]:
-    """Makes an HTTP call with a JSON body; returns status, decoded body and headers."""
+    """Makes an HTTP request; returns the status, the decoded body and the headers.
+
+    Args:
+        method: HTTP method.
+        url: Address and path, without the scheme.
+        doc: Body; bytes are sent as they are, other values as JSON.
+        headers: Additional headers.
+    """
     data = doc if isinstance(doc, bytes) else None if doc is None else json.dumps(doc).encode()
     req = urllib.request.Request(f"http://{url}", data=data, method=method)
     req.add_header("Content-Type", "application/json")
@@ -81,7 +87,7 @@
 
 @dataclass
 class Program:
-    """One started process."""
+    """One process that was started, with the address it listens on and its log file."""
 
     name: str
     process: subprocess.Popen[bytes]
@@ -89,7 +95,7 @@
     log: Path
 
     def stop(self, signal_number: int = signal.SIGTERM) -> int:
-        """Signals the process, waits for its end and returns its exit code."""
+        """Sends a signal if the process runs, waits for its exit and returns the exit code."""
         if self.process.poll() is None:
             self.process.send_signal(signal_number)
         return self.process.wait(TIMEOUT_S)
@@ -97,14 +103,20 @@
 
 @dataclass
 class Deployment:
-    """A platform, endpoints and entry instances, each a process of its own."""
+    """A platform, endpoints and entry instances, each in its own process.
+
+    Attributes:
+        folder: Folder of the log and settings files.
+        programs: The processes by name.
+        entries: Settings of the entry instances by name.
+    """
 
     folder: Path
     programs: dict[str, Program] = field(default_factory=dict)
     entries: dict[str, dict[str, Any]] = field(default_factory=dict)
 
     def start_stand_in(self, kind: str, name: str, *args: str) -> Program:
-        """Starts a stand-in and waits for its ready line."""
+        """Starts the stand-in in module `kind` and waits for its ready line."""
         command = [sys.executable, "-m", f"wigeonarch_fakes.{kind}", *args]
         log = self.folder / f"{name}.log"
         with log.open("wb") as out:
@@ -115,11 +127,11 @@
         return self.programs[name]
 
     def start_platform(self) -> Program:
-        """Starts the platform."""
+        """Starts the platform stand-in."""
         return self.start_stand_in("platform", "platform")
 
     def start_endpoint(self, kind: str, name: str, zone: str, service: str, *args: str) -> Program:
-        """Starts a model engine or a plain service and puts it on the platform's list."""
+        """Starts an engine or plain service stand-in and registers it with the platform."""
         program = self.start_stand_in(kind, name, *args)
         item = {
             "name": name,
@@ -134,7 +146,7 @@
         return program
 
     def start_entry(self, name: str, zone: str, **settings: Any) -> Program:
-        """Starts an entry instance; the process is running, not necessarily ready."""
+        """Starts an entry instance without waiting until it is ready."""
         doc = {
             "instance": name,
             "zone": zone,
@@ -148,7 +160,7 @@
         return self.restart_entry(name)
 
     def restart_entry(self, name: str) -> Program:
-        """Starts an entry instance again with the settings it had."""
+        """Starts an entry instance with the settings of its first start."""
         doc = self.entries[name]
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(doc))
@@ -164,11 +176,11 @@
         return self.programs[name].address
 
     def wait_ready(self, *names: str) -> None:
-        """Waits until entry instances are ready and know each other."""
+        """Waits until entry instances report on `/readyz` that they are ready."""
         for name in names:
-            self._wait_ready(name)
+            self._wait_entry_ready(name)
 
-    def _wait_ready(self, name: str) -> None:
+    def _wait_entry_ready(self, name: str) -> None:
         program = self.programs[name]
         wait_for(
             lambda: self._is_ready(name) or program.process.poll() is not None,
@@ -184,7 +196,7 @@
             return False
 
     def run_ctl(self, entry: str, *args: str) -> tuple[int, Any]:
-        """Runs `wigeonctl` against an entry instance; returns exit code and decoded output."""
+        """Runs `wigeonctl` against an entry instance; returns the exit code and decoded output."""
         server = self.entries[entry]["rpc"]
         command = [
             *(sys.executable, "-m", "wigeonarch_ctl", "--server", server),
@@ -198,15 +210,15 @@
             return done.returncode, output
 
     def read_record(self, name: str) -> Any:
-        """Returns what a stand-in really did."""
+        """Returns a stand-in's record of what it really did."""
         return call("GET", f"{self.address(name)}/_control/record")[1]
 
     def set_faults(self, name: str, **faults: Any) -> None:
-        """Brings faults about in a stand-in."""
+        """Sets faults in a stand-in."""
         assert call("POST", f"{self.address(name)}/_control/faults", faults)[0] == 200
 
     def close(self) -> None:
-        """Ends every process that was started here."""
+        """Kills the processes of this deployment, including suspended ones."""
         for program in self.programs.values():
             if program.process.poll() is None:
                 os.kill(program.process.pid, signal.SIGCONT)
@@ -216,7 +228,7 @@
 
 @contextmanager
 def deployment(folder: Path) -> Iterator[Deployment]:
-    """Gives a deployment without processes and ends all that were started in it."""
+    """Yields an empty deployment and kills the processes started in it on exit."""
     started = Deployment(folder)
     try:
         yield started
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_bench.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_bench.py
@@ -1,12 +1,12 @@
-"""Compares ways to keep a team's quota over all instances, in virtual time.
+"""Compares schemes that enforce a team's quota over all instances, in virtual time.
 
-A team within its quota asks for seven times as much in a hot phase: while nothing happens, while a
-zone is cut off before it and healed in it, and while all instances restart in it. One message of
-fifty is lost.
+A team that stays within its quota requests about seven times as much in a hot phase. The scenarios
+are: no fault, a zone that is cut off before the hot phase and reconnected within it, and a restart
+of all instances within it. One message in fifty is lost.
 
-`python -m wigeonarch_fakes.quota_bench` plays the same loads and troubles on each way, with five
-seeds, and writes figures and a plot to `bench/results/`: what callers asked for, what was admitted,
-and what any window may hold.
+`python -m wigeonarch_fakes.quota_bench` runs the same loads and faults on each scheme with five
+seeds, and writes figures and a plot to `bench/results/`: the requested units, the admitted units
+and the bound of a window.
 """
 
 from __future__ import annotations
@@ -29,29 +29,29 @@
 SEEDS: Final = 5
 ZONES: Final = 3
 ZONE_SIZE: Final = 8
-USUAL_LOAD_PART: Final = 0.55  # Part of its quota that a team asks for on the whole.
-HOT_FACTOR: Final = 7.5  # Times that in a hot phase.
-HOT_START_SECONDS: Final = 16.0  # Seconds.
+USUAL_LOAD_PART: Final = 0.55  # Requested share of the quota outside a hot phase.
+HOT_FACTOR: Final = 7.5  # Multiple of that in a hot phase.
+HOT_START_SECONDS: Final = 16.0
 HOT_END_SECONDS: Final = 44.0
 CUT_START_SECONDS: Final = 12.0
 CUT_SECONDS: Final = 14.0
 RESTART_AT_SECONDS: Final = 22.0
 END_SECONDS: Final = 60.0
-LARGE_TEAM_RATE: Final = 95_140.0  # Units a second.
+LARGE_TEAM_RATE: Final = 95_140.0  # Units per second.
 SMALL_TEAM_RATE: Final = 2_700.0
 PLOTTED_SCENARIO: Final = "zone cut"
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A team, its load, and what happens to the instances in a hot phase.
+    """A team's load and a fault during the run.
 
     Attributes:
         name: Its name in figures and plots.
-        rate: Units a second of the quota.
-        hot: Whether the team has a hot phase.
-        trouble: What happens to the instances.
-        at: Seconds at which it does.
+        rate: The quota in units per second.
+        has_hot_phase: Whether the team has a hot phase.
+        fault: Injects the fault.
+        fault_at: Time of the fault in seconds.
     """
 
     name: str
@@ -61,22 +61,23 @@
     fault_at: float = 0.0
 
     def load(self, now: float) -> float:
-        """Returns the units a second that callers ask for at a time."""
+        """Returns the units per second that callers request at a time."""
         hot = self.has_hot_phase and HOT_START_SECONDS <= now < HOT_END_SECONDS
         return USUAL_LOAD_PART * self.rate * (HOT_FACTOR if hot else 1.0)
 
 
 class Row(msgspec.Struct, frozen=True):
-    """Figures of one way in one scenario, over all seeds.
+    """Figures of one scheme in one scenario, over all seeds.
 
     Attributes:
-        way: Name of the way.
+        way: Name of the scheme.
         scenario: Name of the scenario.
-        worst: The most that any window held, as a part of what it may hold; over all seeds.
-        within: Part that was admitted of what was asked for outside the hot phase and the window
-            that follows it; mean.
-        hot: Part of what windows may hold that was admitted in the hot phase; mean; 0 without one.
-        messages: Messages per request; mean.
+        worst: The most units admitted in any window of any seed, divided by the bound.
+        within: Admitted share of the units requested outside the hot phase and the window that
+            follows it; mean over the seeds.
+        hot: Units admitted in the hot phase, divided by what its windows allow; mean over the
+            seeds; 0 without a hot phase.
+        messages: Messages per request; mean over the seeds.
     """
 
     way: str
@@ -88,7 +89,7 @@
 
 
 class Results(msgspec.Struct, frozen=True):
-    """Figures of all ways."""
+    """Figures of all schemes."""
 
     seeds: int
     rows: list[Row]
@@ -100,9 +101,9 @@
 
 
 def restart_all_instances(world: World) -> None:
-    """Kills all instances, which start again knowing nothing."""
-    for one in world.instances:
-        world.kill(one)
+    """Kills all instances; they restart without state."""
+    for instance in world.instances:
+        world.kill(instance)
 
 
 SCENARIOS: Final = (
@@ -121,17 +122,17 @@
 }
 
 
-def run_scenario(way: str, scenario: Scenario, seed: int) -> World:
-    """Plays a scenario on a way."""
-    made, bank = SCHEMES[way]
+def run_scenario(scheme: str, scenario: Scenario, seed: int) -> World:
+    """Runs a scenario with a scheme and returns the finished simulation."""
+    make_scheme, ledger = SCHEMES[scheme]
     world = World(
         ZONES,
         ZONE_SIZE,
         quota(scenario.rate),
         seed,
         random_faults=False,
-        scheme=made(),
-        make_ledger=bank,
+        scheme=make_scheme(),
+        make_ledger=ledger,
     )
     world.run(scenario.fault_at, scenario.load)
     scenario.fault(world)
@@ -139,10 +140,10 @@
     return world
 
 
-def summarize_runs(way: str, scenario: Scenario, worlds: Sequence[World]) -> Row:
-    """Returns the figures of some plays."""
+def summarize_runs(scheme: str, scenario: Scenario, worlds: Sequence[World]) -> Row:
+    """Returns the figures of one scheme and scenario from the runs of all seeds."""
     return Row(
-        way,
+        scheme,
         scenario.name,
         max(world.worst_window() for world in worlds),
         mean(_admitted_within_quota(world, scenario) for world in worlds),
@@ -152,7 +153,7 @@
 
 
 def _admitted_within_quota(world: World, scenario: Scenario) -> float:
-    """Returns the part that was admitted of what a team within its quota asked for."""
+    """Returns the admitted share of the units requested while the load is within the quota."""
     calm = [
         (cost, granted)
         for at, cost, granted in world.requests
@@ -165,19 +166,19 @@
 
 
 def _admitted_in_hot_phase(world: World) -> float:
-    given = sum(cost for at, cost in world.admitted if HOT_START_SECONDS <= at < HOT_END_SECONDS)
-    return given / (
+    admitted = sum(cost for at, cost in world.admitted if HOT_START_SECONDS <= at < HOT_END_SECONDS)
+    return admitted / (
         BOUNDS.bound(world.quota) * (HOT_END_SECONDS - HOT_START_SECONDS) / BOUNDS.window
     )
 
 
 def units_in_window(units: Sequence[tuple[float, float]], at: float) -> float:
-    """Returns the units within the window that ends at a time."""
+    """Returns the units in the window that ends at a time."""
     return sum(cost for when, cost in units if at - BOUNDS.window < when <= at)
 
 
 def write_plot(worlds: dict[str, World], path: Path) -> bool:
-    """Writes a plot of one scenario on all ways as PNG; False without the plotting library."""
+    """Plots one scenario with all schemes as PNG; False without the plotting library."""
     try:
         import matplotlib
     except ImportError:
@@ -187,12 +188,12 @@
 
     drawing, axes = pyplot.subplots(2, 2, figsize=(11.0, 7.0), sharex=True, sharey=True)
     times = [at / 2 for at in range(int(2 * END_SECONDS) + 1)]
-    for axis, (way, world) in zip(axes.flat, worlds.items(), strict=True):
-        asked = [(at, cost) for at, cost, _ in world.requests]
+    for axis, (scheme, world) in zip(axes.flat, worlds.items(), strict=True):
+        requested = [(at, cost) for at, cost, _ in world.requests]
         bound = BOUNDS.bound(world.quota)
         axis.plot(
             times,
-            [units_in_window(asked, at) / bound for at in times],
+            [units_in_window(requested, at) / bound for at in times],
             color="0.7",
             label="offered",
         )
@@ -201,7 +202,7 @@
         )
         axis.axhline(1.0, color="tab:red", linestyle="--", label="bound")
         axis.axvspan(CUT_START_SECONDS, CUT_START_SECONDS + CUT_SECONDS, color="0.92")
-        axis.set_title(way)
+        axis.set_title(scheme)
         axis.set_ylim(0.0, 3.5)
     axes[0][0].legend(fontsize="small")
     for axis in axes[-1]:
@@ -221,31 +222,31 @@
         "| messages a request |",
         "|---|---|---|---|---|---|",
     ]
-    for one in rows:
-        hot = f"{one.hot:.2f}" if one.hot else ""
+    for row in rows:
+        hot = f"{row.hot:.2f}" if row.hot else ""
         lines.append(
-            f"| {one.scenario} | {one.way} | {one.worst:.2f} | {one.within:.3f} | {hot} "
-            f"| {one.messages:.1f} |"
+            f"| {row.scenario} | {row.way} | {row.worst:.2f} | {row.within:.3f} | {hot} "
+            f"| {row.messages:.1f} |"
         )
     return "\n".join(lines)
 
 
 def main() -> int:
-    """Runs the comparison; returns the exit status: 0 if the way in use kept the bound."""
+    """Runs the comparison; returns 0 if the product's scheme never exceeded the bound."""
     args = _parse_arguments()
     rows, plotted = [], {}
-    for scenario, way in itertools.product(SCENARIOS, SCHEMES):
-        worlds = [run_scenario(way, scenario, seed) for seed in range(1, args.seeds + 1)]
-        rows.append(summarize_runs(way, scenario, worlds))
+    for scenario, scheme in itertools.product(SCENARIOS, SCHEMES):
+        worlds = [run_scenario(scheme, scenario, seed) for seed in range(1, args.seeds + 1)]
+        rows.append(summarize_runs(scheme, scenario, worlds))
         if scenario.name == PLOTTED_SCENARIO:
-            plotted[way] = worlds[0]
+            plotted[scheme] = worlds[0]
     print(table(rows))
     if str(args.out) != "-":
         args.out.write_bytes(msgspec.json.format(msgspec.json.encode(Results(args.seeds, rows))))
         if not write_plot(plotted, args.out.with_suffix(".png")):
             print("no plot: the extra `bench` is not installed", file=sys.stderr)
-    kept = [one for one in rows if one.way == "banker, account"]
-    return int(any(one.worst > 1.0 for one in kept))
+    product_rows = [row for row in rows if row.way == "banker, account"]
+    return int(any(row.worst > 1.0 for row in product_rows))
 
 
 def _parse_arguments() -> argparse.Namespace:
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_schemes.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/quota_schemes.py
@@ -1,8 +1,8 @@
-"""Other ways to keep a quota over all instances, to compare with the one that is in use.
+"""Alternative schemes that enforce a quota over all instances, for comparison.
 
-A fixed share for each instance; sums that all tell each other with their heartbeats; and a banker
-for each zone like the one in use, but with a token bucket where that has an account of the last
-window.
+`EqualShares` gives each instance a fixed share. `HeartbeatSums` lets instances exchange their usage
+in heartbeats. `TokenBucketLedger` is used by quota coordinators, as in the product, but replaces
+the product's ledger, which accounts for the last window, by a token bucket.
 """
 
 from __future__ import annotations
@@ -23,101 +23,101 @@
 
 
 class WindowUsage:
-    """What one instance gave within the last window."""
+    """Units that one instance admitted within the last window."""
 
     __slots__ = ("_grants", "total")
 
     def __init__(self) -> None:
-        """Nothing was given."""
+        """Starts without usage."""
         self._grants: deque[tuple[float, float]] = deque()
         self.total = 0.0
 
     def add(self, cost: float, now: float) -> None:
-        """Notes units that were given."""
+        """Records admitted units."""
         self._grants.append((now, cost))
         self.total += cost
 
     def expire(self, now: float) -> None:
-        """Forgets what is older than the window."""
+        """Removes what is older than the window."""
         while self._grants and self._grants[0][0] <= now - BOUNDS.window:
             self.total -= self._grants.popleft()[1]
 
 
 class EqualShares:
-    """Each instance gives a fixed part of the quota, and asks nobody."""
+    """Each instance admits up to a fixed share of the quota, without coordination."""
 
     def __init__(self) -> None:
-        """Nothing was given."""
+        """Starts without usage."""
         self._usage: dict[str, WindowUsage] = {}
 
     def acquire(self, world: World, requester: Instance, cost: float) -> bool:
-        """Gives while the own part of the window has room."""
-        spent = self._usage.setdefault(requester.name, WindowUsage())
-        spent.expire(world.now)
-        if spent.total + cost > BOUNDS.bound(world.quota) / len(world.instances):
+        """Admits a request that fits into the instance's share of the window."""
+        usage = self._usage.setdefault(requester.name, WindowUsage())
+        usage.expire(world.now)
+        if usage.total + cost > BOUNDS.bound(world.quota) / len(world.instances):
             return False
-        spent.add(cost, world.now)
+        usage.add(cost, world.now)
         return True
 
     def exchange_heartbeats(self, world: World) -> None:
-        """Heartbeats carry nothing."""
+        """Does nothing: this scheme needs no heartbeats."""
 
     def on_restart(self, instance: Instance) -> None:
-        """What a new process gives is bounded by its part, whatever the former one gave."""
+        """Discards the usage: the new process is limited by its own share alone."""
         self._usage.pop(instance.name, None)
 
 
 class HeartbeatSums:
-    """Each instance gives by what all told with their last heartbeats, and what it gave itself."""
+    """Each instance admits by its own usage and what others last reported in heartbeats."""
 
     def __init__(self) -> None:
-        """Nothing was given or told."""
+        """Starts without usage or reports."""
         self._usage: dict[str, WindowUsage] = {}
         self._reported_usage: dict[str, dict[str, float]] = {}
 
     def acquire(self, world: World, requester: Instance, cost: float) -> bool:
-        """Gives while the sum that is known leaves room."""
-        spent = self._usage.setdefault(requester.name, WindowUsage())
-        spent.expire(world.now)
+        """Admits a request if the sum of all known usage stays within the bound."""
+        usage = self._usage.setdefault(requester.name, WindowUsage())
+        usage.expire(world.now)
         others = sum(self._reported_usage.get(requester.name, {}).values())
-        if spent.total + others + cost > BOUNDS.bound(world.quota):
+        if usage.total + others + cost > BOUNDS.bound(world.quota):
             return False
-        spent.add(cost, world.now)
+        usage.add(cost, world.now)
         return True
 
     def exchange_heartbeats(self, world: World) -> None:
-        """Tells all instances in reach what each gave within the last window."""
-        for one in world.instances:
-            spent = self._usage.setdefault(one.name, WindowUsage())
-            spent.expire(world.now)
+        """Reports each instance's usage of the last window to all instances in reach."""
+        for instance in world.instances:
+            usage = self._usage.setdefault(instance.name, WindowUsage())
+            usage.expire(world.now)
             for other in world.instances:
-                if other is not one and world.can_reach(one, other):
-                    self._reported_usage.setdefault(other.name, {})[one.name] = spent.total
+                if other is not instance and world.can_reach(instance, other):
+                    self._reported_usage.setdefault(other.name, {})[instance.name] = usage.total
 
     def on_restart(self, instance: Instance) -> None:
-        """The new process knows nothing of what was given."""
+        """Discards what the killed process knew of its own and others' usage."""
         self._usage.pop(instance.name, None)
         self._reported_usage.pop(instance.name, None)
 
 
 class TokenBucketLedger(QuotaLedger):
-    """A banker's token bucket, which is empty at the start and lends nothing."""
+    """A coordinator's token bucket; it starts empty and requests no loans."""
 
     def __init__(self, bounds: QuotaBounds, now: float, first_loan_request: int = 0) -> None:
-        """Begins without credit."""
+        """Starts with an empty bucket."""
         super().__init__(bounds, now, first_loan_request)
         self._level = 0.0
         self._filled_at = now
 
     def update(self, parts: Mapping[str, tuple[Quota, QuotaShare]], now: float) -> None:
-        """Fills the bucket."""
+        """Refills the bucket."""
         for quota, part in parts.values():
             self._fill(quota, part, now)
 
     def acquire(
         self, team: str, quota: Quota, part: QuotaShare, cost: float, now: float
     ) -> AcquireResult:
-        """Grants what the bucket holds, where this instance is the banker."""
+        """Takes units from the bucket, if this instance is the coordinator."""
         self._fill(quota, part, now)
         if not part.is_coordinator or cost > self._level:
             return AcquireResult(False)
@@ -127,7 +127,7 @@
     def request_loan(
         self, team: str, quota: Quota, part: QuotaShare, now: float
     ) -> LoanRequest | None:
-        """Asks other zones for nothing."""
+        """Returns None: this ledger requests no loans."""
         return None
 
     def _fill(self, quota: Quota, part: QuotaShare, now: float) -> None:
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/service.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/service.py
@@ -1,15 +1,15 @@
 """Stand-in for a plain service that records each run of an operation.
 
-Faults (``POST /_control/faults``, merged into the current ones; null or 0 clears; counts are of the
-next calls; true means every call):
+Faults (``POST /_control/faults``, merged into the current ones; null or 0 clears a fault; a count N
+applies to the next N calls, true to every call):
 
-* ``lose_answers``: run, then close the connection.
+* ``lose_answers``: run, then close the connection without a response.
 * ``close_before``: close the connection without running.
-* ``swallow``: never answer and don't run.
-* ``swallow_after``: run and never answer.
-* ``refuse``: answer 503 ``overloaded`` without running.
-* ``status``: run and answer this status, until cleared.
-* ``delay_ms``: wait before each call is handled.
+* ``swallow``: neither run nor respond.
+* ``swallow_after``: run, but never respond.
+* ``refuse``: respond with 503 ``overloaded`` without running.
+* ``status``: run and respond with this status, until cleared.
+* ``delay_ms``: each call is handled only after this delay.
 
 ``POST /_control/leaving`` with ``{"leaving": bool}`` sets the ``leaving`` state.
 """
@@ -33,7 +33,7 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """The faults in force."""
+    """Active faults; see the module docstring."""
 
     lose_answers: bool | int = 0
     close_before: bool | int = 0
@@ -45,13 +45,13 @@
 
 
 class Leaving(msgspec.Struct):
-    """Body of the control of the ``leaving`` state."""
+    """Body of the control request that sets the ``leaving`` state."""
 
     leaving: bool = True
 
 
 class Run(msgspec.Struct):
-    """One run of an operation."""
+    """One run of an operation; times are milliseconds since the service started."""
 
     run: int
     operation: str
@@ -63,7 +63,7 @@
 
 
 class Service:
-    """The service's state and its HTTP handlers."""
+    """State and HTTP handlers of the service."""
 
     def __init__(self, work_ms: float) -> None:
         self.work_ms = work_ms
@@ -96,7 +96,7 @@
         return app
 
     def record(self) -> dict[str, Any]:
-        """Return what the service really did."""
+        """Return the record of what the service really did."""
         by_key = Counter(run.key for run in self.runs if run.key)
         by_dispatch = Counter(run.dispatch for run in self.runs if run.dispatch)
         return {
@@ -111,11 +111,15 @@
         return round((time.monotonic() - self._started) * 1000, 3)
 
     def _take_fault(self, names: tuple[str, ...]) -> str:
-        """Use up one count of the first fault in force; return its name, or nothing."""
+        """Use up one occurrence of the first active fault in ``names``.
+
+        Returns:
+            The name of the fault, or an empty string if none is active.
+        """
         for name in names:
-            left: bool | int = getattr(self.faults, name)
-            if left:
-                setattr(self.faults, name, True if left is True else left - 1)
+            remaining: bool | int = getattr(self.faults, name)
+            if remaining:
+                setattr(self.faults, name, True if remaining is True else remaining - 1)
                 return name
         return ""
 
@@ -180,7 +184,7 @@
 
 
 class RunningService:
-    """A started service."""
+    """A running service with its HTTP server."""
 
     __slots__ = ("_server", "address", "service")
 
@@ -190,7 +194,7 @@
         self._server = server
 
     async def stop(self) -> None:
-        """Stop serving."""
+        """Stop the HTTP server."""
         await self._server.stop()
 
 
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/serving.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/serving.py
@@ -1,4 +1,4 @@
-"""Shared helpers of the stand-ins: starting a server, control documents, errors and pacing."""
+"""Shared helpers of the stand-ins: HTTP server, responses, connection faults and rate limits."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class Running(Protocol):
-    """A started stand-in."""
+    """A running stand-in."""
 
     @property
     def address(self) -> str:
-        """Where it listens, as IP:PORT."""
+        """Address it listens on, as IP:PORT."""
 
     async def stop(self) -> None:
         """Stop listening and break the open connections."""
@@ -61,7 +61,7 @@
 def json_response(
     document: object, status: int = 200, headers: dict[str, str] | None = None
 ) -> web.Response:
-    """Return an answer with a JSON body."""
+    """Return a response with a JSON body."""
     body = msgspec.json.encode(document)
     return web.Response(
         body=body, status=status, headers=headers, content_type="application/json", charset="utf-8"
@@ -76,7 +76,7 @@
     retry_after_s: float | None = None,
     version: int | None = None,
 ) -> web.Response:
-    """Return an answer with the common error body."""
+    """Return a response with the error body that all stand-ins use."""
     error: dict[str, object] = {"reason": reason, "message": message or reason}
     document: dict[str, object] = {"error": error}
     if version is not None:
@@ -87,26 +87,26 @@
 
 
 def is_disconnected(request: web.Request) -> bool:
-    """Say whether the caller's connection is gone."""
+    """Return whether the caller's connection is closed or closing."""
     return request.transport is None or request.transport.is_closing()
 
 
 def drop_connection(request: web.Request) -> web.Response:
-    """Reset the caller's connection; the returned answer can't be sent any more."""
+    """Reset the caller's connection; the response returned is never sent."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
 
 
 async def never_answer(request: web.Request) -> web.Response:
-    """Hold the request without an answer until the caller goes away."""
+    """Leave the request unanswered until the caller disconnects."""
     while not is_disconnected(request):  # noqa: ASYNC110 - a transport has no event to wait for
         await asyncio.sleep(DISCONNECT_POLL_S)
     return web.Response(status=500)
 
 
 async def open_stream(request: web.Request, content_type: str) -> web.StreamResponse:
-    """Send the head of a streamed answer."""
+    """Send the headers of a streamed response."""
     response = web.StreamResponse(headers={"Content-Type": content_type})
     await response.prepare(request)
     return response
@@ -129,7 +129,7 @@
 
 @web.middleware
 async def refuse_malformed(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Answer 400 to bodies which don't fit the protocol."""
+    """Respond with 400 to requests that do not match the protocol."""
     try:
         return await handler(request)
     except (msgspec.DecodeError, ValueError) as error:
@@ -137,12 +137,12 @@
 
 
 def is_control(request: web.Request) -> bool:
-    """Say whether a request is for the control of the stand-in, which no fault touches."""
+    """Return whether a request controls the stand-in; faults do not affect these requests."""
     return request.path.startswith(CONTROL_PREFIX)
 
 
 class TokenBucket:
-    """A token bucket that holds at most one second's worth of tokens."""
+    """Token bucket with a burst of one second, but of at least one token; rate 0 means no limit."""
 
     __slots__ = ("_rate", "_refilled_at", "_tokens")
 
@@ -152,12 +152,12 @@
         self._refilled_at = time.monotonic()
 
     def take(self) -> float:
-        """Take one token; return 0, or the seconds until there is one."""
+        """Take one token and return 0, or return the seconds until one is available."""
         if self._rate <= 0:
             return 0.0
         now = time.monotonic()
-        grown = self._tokens + (now - self._refilled_at) * self._rate
-        self._tokens = min(max(self._rate, 1.0), grown)
+        available = self._tokens + (now - self._refilled_at) * self._rate
+        self._tokens = min(max(self._rate, 1.0), available)
         self._refilled_at = now
         if self._tokens < 1.0:
             return (1.0 - self._tokens) / self._rate
@@ -166,14 +166,14 @@
 
 
 def common_parser(description: str) -> argparse.ArgumentParser:
-    """Return a parser with the arguments that every stand-in takes."""
+    """Return a parser with the arguments common to all stand-ins."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--port", type=int, default=0, help="port on loopback; 0 takes a free one")
     return parser
 
 
 def run_main(start: Callable[[], Awaitable[Running]]) -> None:
-    """Start a stand-in, print its address and serve until SIGTERM or SIGINT."""
+    """Start a stand-in, print its ready line with the address, and run until SIGTERM or SIGINT."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_serve(start))
 
@@ -181,8 +181,8 @@
 async def _serve(start: Callable[[], Awaitable[Running]]) -> None:
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     running = await start()
     print(f"ready {running.address}", flush=True)
     await stopped.wait()
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/slopes.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/slopes.py
@@ -1,9 +1,9 @@
-"""The slopes that docs/CAPACITY.md rests on: a few sizes measured here, and a line through each.
+"""Measures how resource use grows with the size of a deployment, for docs/CAPACITY.md.
 
-Each sweep varies one size, starts the programs as separate processes, lets them settle, reads what
-the entry instances and the platform stand-in used over a window, and fits a line by least squares.
-Processor time is read per process, so other work on the machine changes it little; resident memory
-is given as growth over an idle process, with the idle process beside it.
+Each sweep varies one size. It starts the programs as separate processes, lets them settle, measures
+what the entry instances and the platform stand-in use over a window, and fits a line by least
+squares. CPU time is read per process, so other work on the machine changes it little. For resident
+memory, the slope gives the growth over an idle process, and the value at zero the idle process.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 
 
 class Point(msgspec.Struct, frozen=True, kw_only=True):
-    """What one size cost, per entry instance and second unless said otherwise.
+    """Resource use at one size, per entry instance and second unless stated otherwise.
 
     Attributes:
-        size: The size that is varied.
-        cpu: Share of a core.
+        size: The varied size.
+        cpu: Fraction of a core.
         rss_mib: Resident memory in MiB.
         peer_bytes: Payload bytes to and from peers.
         peer_messages: Messages to and from peers.
         platform_bytes: Payload bytes to and from the platform.
         platform_calls: Calls to the platform, watches not counted.
-        platform_writes: The platform's writes for all instances together.
-        platform_reads: The platform's reads for all instances together.
-        watches: Waiting watches at the platform, for all instances together.
+        platform_writes: Writes at the platform by all instances together.
+        platform_reads: Reads at the platform by all instances together.
+        watches: Number of open watches at the platform, of all instances together.
     """
 
     size: float
@@ -60,7 +60,7 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """A line through points: `at_zero + per_unit * size`; `r2` tells how well it fits."""
+    """A line through points: `at_zero + per_unit * size`; `r2` is the goodness of fit."""
 
     at_zero: float
     per_unit: float
@@ -75,48 +75,48 @@
     sizes = np.array([point.size for point in points])
     values = np.array([getattr(point, figure) for point in points])
     per_unit, at_zero = np.polyfit(sizes, values, 1)
-    spread = float(((values - values.mean()) ** 2).sum())
-    left = float(((values - (at_zero + per_unit * sizes)) ** 2).sum())
-    r2 = 1.0 - left / spread if spread else 1.0
+    variation = float(((values - values.mean()) ** 2).sum())
+    residual = float(((values - (at_zero + per_unit * sizes)) ** 2).sum())
+    r2 = 1.0 - residual / variation if variation else 1.0
     return Line(float(at_zero), float(per_unit), r2)
 
 
 def measure_window(
     dep: Deployment, size: float, workload: Callable[[], object] | None = None
 ) -> Point:
-    """Reads what the entry instances use over a window, while `work` runs or nothing does."""
-    time.sleep(SETTLE_SECONDS)  # Start-up costs are over by then; they are not part of a slope.
+    """Measures the resource use over a window, under a workload or idle."""
+    time.sleep(SETTLE_SECONDS)  # Excludes the costs of starting up.
     first = _platform_calls(dep)
     before = _read_entry_usage(dep)
     begin = time.monotonic()
     if workload is not None:
         workload()
-    # Costs are counted over a whole window, also when the work ends before it.
-    time.sleep(max(0.0, begin + WINDOW_SECONDS - time.monotonic()))  # What is left of the window.
+    # Measures over a whole window even if the workload ends earlier.
+    time.sleep(max(0.0, begin + WINDOW_SECONDS - time.monotonic()))  # The rest of the window.
     seconds = time.monotonic() - begin
     after = _read_entry_usage(dep)
     last = _platform_calls(dep)
-    spent = [after[name].since(before[name]) for name in after]
+    usages = [after[name].since(before[name]) for name in after]
     return Point(
         size=size,
-        cpu=usage.mean(each.cpu_s for each in spent) / seconds,
-        rss_mib=usage.mean(each.rss_mib for each in spent),
-        peer_bytes=_rate(spent, "wigeonarch_control_bytes_total{direction=in,with=peers", seconds)
-        + _rate(spent, "wigeonarch_control_bytes_total{direction=out,with=peers", seconds),
-        peer_messages=_rate(spent, "wigeonarch_peer_messages_total", seconds),
+        cpu=usage.mean(each.cpu_s for each in usages) / seconds,
+        rss_mib=usage.mean(each.rss_mib for each in usages),
+        peer_bytes=_rate(usages, "wigeonarch_control_bytes_total{direction=in,with=peers", seconds)
+        + _rate(usages, "wigeonarch_control_bytes_total{direction=out,with=peers", seconds),
+        peer_messages=_rate(usages, "wigeonarch_peer_messages_total", seconds),
         platform_bytes=_rate(
-            spent, "wigeonarch_control_bytes_total{direction=in,with=platform", seconds
+            usages, "wigeonarch_control_bytes_total{direction=in,with=platform", seconds
         )
-        + _rate(spent, "wigeonarch_control_bytes_total{direction=out,with=platform", seconds),
-        platform_calls=_rate(spent, "wigeonarch_platform_calls_total", seconds),
+        + _rate(usages, "wigeonarch_control_bytes_total{direction=out,with=platform", seconds),
+        platform_calls=_rate(usages, "wigeonarch_platform_calls_total", seconds),
         platform_writes=(last["writes"] - first["writes"]) / seconds,
         platform_reads=(last["reads"] - first["reads"]) / seconds,
         watches=last["watches"],
     )
 
 
-def _rate(spent: Sequence[usage.Usage], prefix: str, seconds: float) -> float:
-    return usage.mean(each.total(prefix) for each in spent) / seconds
+def _rate(usages: Sequence[usage.Usage], prefix: str, seconds: float) -> float:
+    return usage.mean(each.total(prefix) for each in usages) / seconds
 
 
 def _read_entry_usage(dep: Deployment) -> dict[str, usage.Usage]:
@@ -176,52 +176,52 @@
 
 
 def measure_requests(dep: Deployment, size: int) -> Point:
-    """Varies the requests a second at one instance, of 20 tokens each."""
+    """Varies the requests per second at one instance, of 20 tokens each."""
     _start_engines(dep, 4)
     _start_entries(dep, 1)
     setting_up.create_model_service(dep.entries["entry-0"]["rpc"], SERVICE, 4)
-    doors = (dep.address("entry-0"),)
-    warm = load.Plan(targets=doors, adapters=4, rate=5.0, seconds=4.0, tokens=2)
+    targets = (dep.address("entry-0"),)
+    warm = load.Plan(targets=targets, adapters=4, rate=5.0, seconds=4.0, tokens=2)
     run_load(warm)
-    plan = load.Plan(targets=doors, adapters=4, rate=size, seconds=WINDOW_SECONDS, tokens=20)
+    plan = load.Plan(targets=targets, adapters=4, rate=size, seconds=WINDOW_SECONDS, tokens=20)
     return measure_window(dep, size, lambda: run_load(plan))
 
 
 def paced_calls(rate: float) -> Iterator[int]:
-    """Yields the numbers of the calls of one window, each at its time; `rate` is calls a second."""
+    """Yields the call numbers of one window, each at its due time; `rate` is per second."""
     begin = time.monotonic()
     for number in range(int(rate * WINDOW_SECONDS)):
-        time.sleep(max(0.0, begin + number / rate - time.monotonic()))  # Until the call is due.
+        time.sleep(max(0.0, begin + number / rate - time.monotonic()))  # Until due.
         yield number
 
 
 def measure_keyed_calls(dep: Deployment, size: int) -> Point:
-    """Varies the non-idempotent calls a second at one instance."""
+    """Varies the non-idempotent calls per second at one instance."""
     dep.start_endpoint("service", "orders-1", ZONE, "orders")
     _start_entries(dep, 1)
     assert dep.run_ctl("entry-0", "service", "create", "orders", "--kind", "plain")[0] == 0
     url = f"{dep.address('entry-0')}/v1/services/orders/confirm"
 
-    def work() -> None:
+    def send_calls() -> None:
         for number in paced_calls(size):
             call("POST", url, {}, {"Idempotency-Key": f"key-{number}"})
 
-    return measure_window(dep, size, work)
+    return measure_window(dep, size, send_calls)
 
 
 def measure_changes(dep: Deployment, size: float) -> Point:
-    """Varies the changes of configuration a second, with four instances."""
+    """Varies the configuration changes per second, with four instances."""
     _start_entries(dep, 4)
     server = dep.entries["entry-0"]["rpc"]
     setting_up.create_model_service(server, SERVICE, 1)
 
-    def work() -> None:
+    def send_calls() -> None:
         for number in paced_calls(size):
             setting_up.apply_mutations_blocking(
                 server, setting_up.adapter_with_rule(SERVICE, f"new{number}")[:1]
             )
 
-    return measure_window(dep, size, work)
+    return measure_window(dep, size, send_calls)
 
 
 SWEEPS: Final[dict[str, tuple[Callable[[Deployment, Any], Point], tuple[float, ...]]]] = {
@@ -258,7 +258,9 @@
 
 def main() -> None:
     """Runs the sweeps as a program; writes the JSON and prints the table."""
-    parser = argparse.ArgumentParser(description="what each size costs an entry instance")
+    parser = argparse.ArgumentParser(
+        description="measures an entry instance's resource use at several sizes"
+    )
     parser.add_argument("--only", default=",".join(SWEEPS), help="comma-separated sweeps")
     parser.add_argument("--out", type=Path, default=Path("bench/results/slopes.json"))
     args = parser.parse_args()
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/storms.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/storms.py
@@ -1,7 +1,7 @@
-"""Storms: what the platform and the instances bear when many things happen at once.
+"""Measures load peaks on the platform when many instances act at once.
 
-Each storm starts a deployment of separate processes, brings one event about and reads the
-platform's peak of calls in one second, and how long it took until every instance was ready again.
+Each storm starts a deployment of separate processes, triggers one event, and measures the
+platform's peak calls per second and the time until every instance is ready again.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class PeakSampler:
-    """The greatest number of platform calls in a second, sampled while a storm goes on."""
+    """Samples the platform calls per second in a thread and keeps their peak."""
 
     __slots__ = ("_dep", "_ended", "_thread", "calls_per_s")
 
@@ -41,11 +41,11 @@
         self.calls_per_s = 0.0
 
     def start(self) -> None:
-        """Begins to sample."""
+        """Starts sampling."""
         self._thread.start()
 
     def stop(self) -> float:
-        """Ends sampling; returns the peak."""
+        """Stops sampling; returns the peak."""
         self._ended.set()
         self._thread.join()
         return self.calls_per_s
@@ -58,13 +58,13 @@
             last_time, last = now, calls
 
     def _calls(self) -> float:
-        counted = self._dep.read_record("platform")["calls"]
-        return float(sum(counted.values()))
+        calls = self._dep.read_record("platform")["calls"]
+        return float(sum(calls.values()))
 
 
 @contextmanager
 def running_deployment(instances: int) -> Iterator[tuple[Deployment, list[str]]]:
-    """Gives a deployment of three zones with `instances` entry instances in each."""
+    """Runs a deployment of three zones with `instances` entry instances in each."""
     with tempfile.TemporaryDirectory() as folder, deployment(Path(folder)) as dep:
         platform = dep.start_platform()
         dep.start_stand_in(
@@ -78,33 +78,33 @@
             dep.start_entry(name, name.rpartition("-")[0], log_level="WARNING")
         dep.wait_ready(*names)
         setting_up.create_model_service(dep.entries[names[0]]["rpc"], SERVICE, 24)
-        time.sleep(SETTLE_SECONDS)  # What starting up costs is no part of a storm.
+        time.sleep(SETTLE_SECONDS)  # Excludes the calls of starting up.
         yield dep, names
 
 
 def measure_event(dep: Deployment, names: list[str], event: Callable[[], None]) -> dict[str, Any]:
-    """Brings an event about; returns the quiet rate, the peak, and the time until all are ready."""
-    quiet = PeakSampler(dep)
-    quiet.start()
-    time.sleep(SETTLE_SECONDS)  # The quiet rate is sampled meanwhile.
-    quiet_peak = quiet.stop()
+    """Triggers an event; returns the idle peak, the peak, and the time until all are ready."""
+    idle_sampler = PeakSampler(dep)
+    idle_sampler.start()
+    time.sleep(SETTLE_SECONDS)  # Samples the idle rate.
+    idle_peak = idle_sampler.stop()
     peak = PeakSampler(dep)
     peak.start()
     begin = time.monotonic()
     event()
     dep.wait_ready(*names)
     ready_s = time.monotonic() - begin
-    time.sleep(SETTLE_SECONDS)  # The peak may come after all are ready again; it is sampled on.
+    time.sleep(SETTLE_SECONDS)  # The peak may come after all are ready.
     return {
         "instances": len(names),
-        "quiet_calls_per_s": round(quiet_peak, 1),
+        "quiet_calls_per_s": round(idle_peak, 1),
         "peak_calls_per_s": round(peak.stop(), 1),
         "all_ready_s": round(ready_s, 1),
     }
 
 
 def replace_zone() -> dict[str, Any]:
-    """All instances of one zone are killed and started again at once."""
+    """Kills all instances of one zone and restarts them at once."""
     with running_deployment(INSTANCES_PER_ZONE) as (dep, names):
         zone = [name for name in names if name.startswith(ZONES[0])]
 
@@ -118,19 +118,19 @@
 
 
 def end_platform_outage() -> dict[str, Any]:
-    """The platform is away for a while; every instance comes back to it."""
+    """Takes the platform down for a while; then every instance reconnects."""
     with running_deployment(INSTANCES_PER_ZONE) as (dep, names):
 
         def event() -> None:
             dep.set_faults("platform", down=True)
-            time.sleep(OUTAGE_SECONDS)  # The length of the outage is what is brought about.
+            time.sleep(OUTAGE_SECONDS)  # The platform stays down for this time.
             dep.set_faults("platform", down=False)
 
         return measure_event(dep, names, event)
 
 
 def replace_one_by_one() -> dict[str, Any]:
-    """Instances are replaced gracefully one after the other, as 72 a day are, but without pause."""
+    """Replaces instances gracefully one by one, without the pauses of the usual 72 a day."""
     with running_deployment(4) as (dep, names):
 
         def event() -> None:
@@ -143,10 +143,10 @@
 
 
 def wake_adapters() -> dict[str, Any]:
-    """A third of the adapters becomes busy at once, with a load on all doors."""
+    """Sends requests for the adapters to all instances, as if a third became active at once."""
     with running_deployment(2) as (dep, names):
-        doors = tuple(dep.address(name) for name in names)
-        plan = load.Plan(targets=doors, adapters=24, skew=0.0, rate=20.0, seconds=20.0, tokens=10)
+        targets = tuple(dep.address(name) for name in names)
+        plan = load.Plan(targets=targets, adapters=24, skew=0.0, rate=20.0, seconds=20.0, tokens=10)
         ends: dict[str, int] = {}
 
         def event() -> None:
@@ -165,7 +165,9 @@
 
 def main() -> None:
     """Runs the storms as a program; writes the JSON and prints it."""
-    parser = argparse.ArgumentParser(description="platform calls when much happens at once")
+    parser = argparse.ArgumentParser(
+        description="measures peaks of platform calls when many instances act at once"
+    )
     parser.add_argument("--only", default=",".join(STORMS), help="comma-separated storms")
     parser.add_argument("--out", type=Path, default=Path("bench/results/storms.json"))
     args = parser.parse_args()
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/usage.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/usage.py
@@ -1,4 +1,4 @@
-"""What processes use: processor time, resident memory, and figures from their metrics page."""
+"""Measures CPU time and resident memory of processes, and reads their Prometheus metrics."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What one process has used so far, or between two readings.
+    """Resource usage of one process since its start, or between two readings.
 
     Attributes:
-        cpu_s: Processor time in seconds, user and system.
-        rss_mib: Resident memory in MiB; at the later reading if between two.
-        counters: Values of metrics by name and labels, for example `name{call=get}`.
+        cpu_s: CPU time in seconds, user and system.
+        rss_mib: Resident memory in MiB; between two readings, that of the later one.
+        counters: Metric values by name and labels, for example `name{call=get}`.
     """
 
     cpu_s: float
@@ -27,7 +27,7 @@
     counters: dict[str, float]
 
     def since(self, earlier: Usage) -> Usage:
-        """Returns what was used after an earlier reading."""
+        """Returns the usage since an earlier reading."""
         counters = {
             name: value - earlier.counters.get(name, 0.0) for name, value in self.counters.items()
         }
@@ -39,7 +39,7 @@
 
 
 def read_usage(pid: int, address: str | None = None) -> Usage:
-    """Reads what a process has used; with an address, its metrics page as well."""
+    """Reads the usage of a process; with an address, also its metrics page."""
     process = psutil.Process(pid)
     times = process.cpu_times()
     rss = process.memory_info().rss / MIB
@@ -47,18 +47,18 @@
 
 
 def read_metrics(address: str) -> dict[str, float]:
-    """Returns the counters and gauges of a metrics page."""
+    """Returns the samples of a metrics page by name and labels."""
     with urllib.request.urlopen(f"http://{address}/metrics", timeout=METRICS_TIMEOUT_S) as resp:
         text = resp.read().decode()
-    found: dict[str, float] = {}
+    samples: dict[str, float] = {}
     for family in text_string_to_metric_families(text):
         for sample in family.samples:
             labels = ",".join(f"{key}={value}" for key, value in sorted(sample.labels.items()))
-            found[f"{sample.name}{{{labels}}}"] = sample.value
-    return found
+            samples[f"{sample.name}{{{labels}}}"] = sample.value
+    return samples
 
 
 def mean(values: Iterable[float]) -> float:
-    """Returns the mean; 0 of nothing."""
+    """Returns the mean; 0 if there are no values."""
     listed = list(values)
     return sum(listed) / len(listed) if listed else 0.0
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/weightstore.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/weightstore.py
@@ -1,12 +1,12 @@
-"""Stand-in for the weight store: paced transfers of adapter weights.
+"""Stand-in for the weight store: transfers adapter weights at a limited bandwidth.
 
-Starts over ``rate`` a second get 429 with ``Retry-After``. Concurrent transfers share
-``bytes_per_s`` evenly.
+At most ``rate`` transfers may start per second; others get 429 with ``Retry-After``. Concurrent
+transfers share the bandwidth ``bytes_per_s`` evenly.
 
-Faults (``POST /_control/faults``, merged into the current ones; null or 0 clears):
+Faults (``POST /_control/faults``, merged into the current ones; null or 0 clears a fault):
 
-* ``fail_partway``: the next N transfers break after half of their bytes.
-* ``slow_factor``: transfers take this many times longer.
+* ``fail_partway``: the next N transfers break off after half of their bytes.
+* ``slow_factor``: transfers take longer by this factor.
 """
 
 from __future__ import annotations
@@ -25,14 +25,17 @@
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
-    """The faults in force."""
+    """Active faults; see the module docstring."""
 
     fail_partway: int = 0
     slow_factor: float = 0
 
 
 class Transfer(msgspec.Struct):
-    """One transfer and how it ended: ``whole``, ``failed`` or ``broken`` by the caller."""
+    """One transfer.
+
+    Its outcome is ``whole``, ``failed`` by a fault, or ``broken`` if the connection was lost.
+    """
 
     adapter: str
     version: str
@@ -43,7 +46,7 @@
 
 
 class WeightStore:
-    """The weight store's state and its HTTP handlers."""
+    """State and HTTP handlers of the weight store."""
 
     def __init__(self, rate: float, bytes_per_s: float) -> None:
         self.faults = Faults()
@@ -67,7 +70,7 @@
         return app
 
     def record(self) -> dict[str, Any]:
-        """Return what the weight store really did."""
+        """Return the record of what the weight store really did."""
         return {
             "transfers": self.transfers,
             "rate_limited": self.rate_limited,
@@ -90,7 +93,7 @@
         is_failing = self.faults.fail_partway > 0
         if is_failing:
             self.faults.fail_partway -= 1
-        begun = time.monotonic()
+        started = time.monotonic()
         self._open += 1
         self.peak_open = max(self.peak_open, self._open)
         transfer.outcome = "broken"
@@ -104,11 +107,11 @@
             return serving.drop_connection(request)
         finally:
             self._open -= 1
-            transfer.took_ms = round((time.monotonic() - begun) * 1000, 3)
+            transfer.took_ms = round((time.monotonic() - started) * 1000, 3)
         return serving.drop_connection(request) if is_failing else response
 
     async def _send(self, response: web.StreamResponse, transfer: Transfer, until: int) -> None:
-        """Send bytes at this transfer's share of the speed, paced against the clock."""
+        """Send the first ``until`` bytes, paced at this transfer's share of the bandwidth."""
         due = time.monotonic()
         while transfer.bytes_sent < until:
             share = self._bytes_per_s / self._open / (self.faults.slow_factor or 1.0)
@@ -127,7 +130,7 @@
 
 
 class RunningWeightStore:
-    """A started weight store."""
+    """A running weight store with its HTTP server."""
 
     __slots__ = ("_server", "address", "store")
 
@@ -137,14 +140,14 @@
         self._server = server
 
     async def stop(self) -> None:
-        """Stop serving."""
+        """Stop the HTTP server."""
         await self._server.stop()
 
 
 async def start_weight_store(
     port: int = 0, *, rate: float = 0, bytes_per_s: float = 100e6
 ) -> RunningWeightStore:
-    """Start a weight store on a loopback port; rate 0 means no limit of starts."""
+    """Start a weight store on a loopback port; rate 0 means no limit on starts."""
     store = WeightStore(rate, bytes_per_s)
     return RunningWeightStore(store, await serving.start_app(store.app(), port))
 
@@ -152,7 +155,9 @@
 def main() -> None:
     """Run the weight store as a program."""
     parser = serving.common_parser("stand-in for the weight store")
-    parser.add_argument("--rate", type=float, default=0, help="starts a second; 0 for no limit")
+    parser.add_argument(
+        "--rate", type=float, default=0, help="maximum transfers started per second; 0 for no limit"
+    )
     parser.add_argument("--bytes-per-s", type=float, default=100e6)
     args = parser.parse_args()
     serving.run_main(
