--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_baselines.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_baselines.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from wigeonarch_core import rendezvous as homes
+from wigeonarch_core import rendezvous
 from wigeonarch_core.refs import AdapterVersion
 
 from wigeonarch_fakes.bench_engine import Engine
@@ -237,7 +237,7 @@
 def route_to_home(state: BaselineState, request: Request, engines: Sequence[Engine]) -> Engine:
     """Returns the adapter's first engine by rendezvous hashing."""
     by_name = {engine.name: engine for engine in engines}
-    return by_name[homes.ranked(str(request.target), list(by_name))[0]]
+    return by_name[rendezvous.ranked(str(request.target), list(by_name))[0]]
 
 
 def route_to_loaded(state: BaselineState, request: Request, engines: Sequence[Engine]) -> Engine:
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/slopes.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/slopes.py
@@ -19,8 +19,7 @@
 import msgspec
 import numpy as np
 
-from wigeonarch_fakes import catalogue_setup as setting_up
-from wigeonarch_fakes import load, usage
+from wigeonarch_fakes import catalogue_setup, load, usage
 from wigeonarch_fakes.procbench import SERVICE, run_load
 from wigeonarch_fakes.processes import Deployment, call, deployment
 
@@ -171,7 +170,7 @@
     """Varies the adapters in the catalogue, each with one version and a rule."""
     _start_entries(dep, 1)
     server = dep.entries["entry-0"]["rpc"]
-    setting_up.create_model_service(server, SERVICE, size)
+    catalogue_setup.create_model_service(server, SERVICE, size)
     return measure_window(dep, size)
 
 
@@ -179,7 +178,7 @@
     """Varies the requests per second at one instance, of 20 tokens each."""
     _start_engines(dep, 4)
     _start_entries(dep, 1)
-    setting_up.create_model_service(dep.entries["entry-0"]["rpc"], SERVICE, 4)
+    catalogue_setup.create_model_service(dep.entries["entry-0"]["rpc"], SERVICE, 4)
     targets = (dep.address("entry-0"),)
     warm = load.Plan(targets=targets, adapters=4, rate=5.0, seconds=4.0, tokens=2)
     run_load(warm)
@@ -213,12 +212,12 @@
     """Varies the configuration changes per second, with four instances."""
     _start_entries(dep, 4)
     server = dep.entries["entry-0"]["rpc"]
-    setting_up.create_model_service(server, SERVICE, 1)
+    catalogue_setup.create_model_service(server, SERVICE, 1)
 
     def send_calls() -> None:
         for number in paced_calls(size):
-            setting_up.apply_mutations_blocking(
-                server, setting_up.adapter_with_rule(SERVICE, f"new{number}")[:1]
+            catalogue_setup.apply_mutations_blocking(
+                server, catalogue_setup.adapter_with_rule(SERVICE, f"new{number}")[:1]
             )
 
     return measure_window(dep, size, send_calls)
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/storms.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/storms.py
@@ -17,8 +17,7 @@
 from pathlib import Path
 from typing import Any, Final
 
-from wigeonarch_fakes import catalogue_setup as setting_up
-from wigeonarch_fakes import load
+from wigeonarch_fakes import catalogue_setup, load
 from wigeonarch_fakes.procbench import SERVICE, run_load
 from wigeonarch_fakes.processes import Deployment, deployment
 
@@ -77,7 +76,7 @@
         for name in names:
             dep.start_entry(name, name.rpartition("-")[0], log_level="WARNING")
         dep.wait_ready(*names)
-        setting_up.create_model_service(dep.entries[names[0]]["rpc"], SERVICE, 24)
+        catalogue_setup.create_model_service(dep.entries[names[0]]["rpc"], SERVICE, 24)
         time.sleep(SETTLE_SECONDS)  # Excludes the calls of starting up.
         yield dep, names
 
