--- a/deploy/losses.py
+++ b/deploy/losses.py
@@ -1,11 +1,15 @@
-"""Prints where worth is lost, by the days in the journal: by kind of day and by kind of trouble.
+"""Prints where worth is lost on the journal's days: by kind of day and by kind of trouble.
 
     python deploy/losses.py [--since COMMIT] [--site SITE ...] [--plot FILE]
 
-For each deployment and kind of day: the mean worth, what each part of it loses (its weight times
-what is missing to 1), and the prices, dearest first. Then, for each deployment, what a day loses
-with each kind of trouble, by least squares over its days with any, with standard errors. Only days
-that were played to their end count; with --since, only from that commit's first entry on.
+The worth of a day (`G` in the journal) has weighted parts, each of which is at most 1, and prices,
+which are deducted from it. A trouble is a fault or a planned operation.
+
+For each deployment and kind of day, the script prints the mean worth, the loss of each part (its
+weight times its distance from 1) and the highest prices, highest first. Then, for each deployment,
+it prints the loss caused by each kind of trouble, estimated by least squares over the days that had
+any trouble, with standard errors. Only days that were played to their end count; with --since, only
+those from that commit's first entry on.
 """
 
 from __future__ import annotations
@@ -21,18 +25,18 @@
 from verification import JOURNAL, entries
 
 PRICES_SHOWN: Final = 5
-DAYS_LEAST: Final = 12  # Days with trouble, below which nothing is said of kinds of trouble.
-MET_LEAST: Final = 4  # Days with a kind of trouble, and without, below which nothing is said of it.
+MIN_DAYS_WITH_TROUBLE: Final = 12  # With fewer days with trouble, no effects are estimated
+MIN_DAYS_PER_KIND: Final = 4  # With fewer days with or without a kind, it is left out
 
 
 @dataclass
 class Losses:
-    """What the days of one kind lose on one deployment.
+    """Losses of the days of one kind on one deployment.
 
     Attributes:
         worths: Worth of each day.
-        parts: Loss by each part of the worth, for each day.
-        prices: Loss by each price, for each day.
+        parts: Losses by part of the worth, one for each day.
+        prices: Losses by price, one for each day that names it.
     """
 
     worths: list[float] = field(default_factory=list)
@@ -40,29 +44,29 @@
     prices: dict[str, list[float]] = field(default_factory=dict)
 
     def add(self, day: dict[str, Any]) -> None:
-        """Adds a day."""
+        """Adds the worth and the losses of a day."""
         self.worths.append(float(day["G"]))
         for name, weight, share in day["parts"]:
             self.parts.setdefault(name, []).append(weight * (1.0 - share))
         for name, _, loss in day["prices"]:
             self.prices.setdefault(name, []).append(loss)
 
-    def dearest(self, most: int) -> list[tuple[str, float]]:
-        """Returns the prices that cost most on the mean."""
-        # A day that does not name a price paid nothing of it.
+    def dearest(self, limit: int) -> list[tuple[str, float]]:
+        """Returns the `limit` prices with the highest mean loss, highest first."""
+        # A day that does not name a price paid nothing for it, so the mean is over all days.
         means = [(name, sum(losses) / len(self.worths)) for name, losses in self.prices.items()]
-        return sorted(means, key=lambda pair: -pair[1])[:most]
+        return sorted(means, key=lambda pair: -pair[1])[:limit]
 
 
 @dataclass(frozen=True)
 class Effect:
-    """What a kind of trouble costs a day.
+    """Estimated loss of a day that has a kind of trouble.
 
     Attributes:
-        kind: Its name.
-        days: Days that had it.
-        loss: Worth lost by it.
-        error: Standard error of that.
+        kind: Kind of trouble.
+        days: Number of days that had it.
+        loss: Worth lost by it on a day.
+        error: Standard error of the loss.
     """
 
     kind: str
@@ -71,20 +75,26 @@
     error: float
 
 
-Kept = dict[str, list[dict[str, Any]]]
+DaysBySite = dict[str, list[dict[str, Any]]]
+
 
+def whole_days(journal: Iterable[dict[str, Any]], since: str, sites: Sequence[str]) -> DaysBySite:
+    """Returns the days that were played to their end, by deployment.
 
-def whole_days(found: Iterable[dict[str, Any]], since: str, sites: Sequence[str]) -> Kept:
-    """Returns the days that were played to their end, by deployment."""
-    days: Kept = {}
-    begun = not since
-    for entry in found:
-        begun = begun or entry["head"].startswith(since)
-        if not begun or (sites and entry["site"] not in sites):
+    Args:
+        journal: Entries of the journal, oldest first.
+        since: Commit from whose first entry on days count; empty for all.
+        sites: Deployments that count; empty for all.
+    """
+    days: DaysBySite = {}
+    started = not since
+    for entry in journal:
+        started = started or entry["head"].startswith(since)
+        if not started or (sites and entry["site"] not in sites):
             continue
         whole = [day for day in entry.get("days") or [] if day.get("parts") and not day["fault"]]
         days.setdefault(entry["site"], []).extend(whole)
-    return {site: some for site, some in days.items() if some}
+    return {site: played for site, played in days.items() if played}
 
 
 def by_kind(days: Iterable[dict[str, Any]]) -> dict[str, Losses]:
@@ -96,30 +106,36 @@
 
 
 def effects(days: Sequence[dict[str, Any]]) -> list[Effect]:
-    """Returns what each kind of trouble costs, dearest first; nothing where days are too few."""
+    """Estimates the loss by each kind of trouble.
+
+    Returns:
+        The effects, highest loss first; none if there are too few days.
+    """
     troubled = [day for day in days if day["troubles"]]
-    met = {kind for day in troubled for kind in day["troubles"]}
-    counts = {kind: sum(kind in day["troubles"] for day in troubled) for kind in met}
-    kinds = sorted(k for k, n in counts.items() if MET_LEAST <= n <= len(troubled) - MET_LEAST)
-    if len(troubled) < max(DAYS_LEAST, 2 * (len(kinds) + 1)):
+    occurring = {kind for day in troubled for kind in day["troubles"]}
+    counts = {kind: sum(kind in day["troubles"] for day in troubled) for kind in occurring}
+    kinds = sorted(
+        k for k, n in counts.items() if MIN_DAYS_PER_KIND <= n <= len(troubled) - MIN_DAYS_PER_KIND
+    )
+    if len(troubled) < max(MIN_DAYS_WITH_TROUBLE, 2 * (len(kinds) + 1)):
         return []
-    has = [[1.0, *(float(kind in day["troubles"]) for kind in kinds)] for day in troubled]
-    matrix = np.array(has)
+    rows = [[1.0, *(float(kind in day["troubles"]) for kind in kinds)] for day in troubled]
+    matrix = np.array(rows)
     worths = np.array([float(day["G"]) for day in troubled])
     inverse = np.linalg.pinv(matrix.T @ matrix)
-    fitted = inverse @ matrix.T @ worths
-    rest = worths - matrix @ fitted
-    variance = float(rest @ rest) / (len(troubled) - len(kinds) - 1)
+    coefficients = inverse @ matrix.T @ worths
+    residuals = worths - matrix @ coefficients
+    variance = float(residuals @ residuals) / (len(troubled) - len(kinds) - 1)
     errors = np.sqrt(variance * np.diag(inverse))
     found = [
-        Effect(kind, counts[kind], -float(fitted[place]), float(errors[place]))
+        Effect(kind, counts[kind], -float(coefficients[place]), float(errors[place]))
         for place, kind in enumerate(kinds, 1)
     ]
     return sorted(found, key=lambda effect: -effect.loss)
 
 
 def print_losses(site: str, found: dict[str, Losses]) -> None:
-    """Prints a table of a deployment's kinds of day."""
+    """Prints the table of losses by kind of day for a deployment."""
     names = list(next(iter(found.values())).parts)
     print(f"\n## {site}\n")
     print("| kind of day | days | worth | " + " | ".join(names) + " | dearest prices |")
@@ -132,16 +148,16 @@
 
 
 def print_effects(found: Sequence[Effect]) -> None:
-    """Prints what kinds of trouble cost."""
+    """Prints the table of losses by kind of trouble."""
     if not found:
         return
     print("\n| trouble | days with it | a day loses | standard error |\n|---|---|---|---|")
-    for one in found:
-        print(f"| {one.kind} | {one.days} | {one.loss:.3f} | {one.error:.3f} |")
+    for effect in found:
+        print(f"| {effect.kind} | {effect.days} | {effect.loss:.3f} | {effect.error:.3f} |")
 
 
 def write_plot(found: dict[str, dict[str, Losses]], path: Path) -> None:
-    """Writes a bar for each deployment and kind of day: worth, losses by part, prices."""
+    """Plots a stacked bar for each deployment and kind of day: worth, losses by part, prices."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -151,32 +167,34 @@
         (f"{site}\n{slot}", one) for site, kinds in found.items() for slot, one in kinds.items()
     ]
     names = list(bars[0][1].parts)
-    drawing, axis = pyplot.subplots(figsize=(max(8.0, 0.9 * len(bars)), 6.0))
-    places = range(len(bars))
-    below = [mean(one.worths) for _, one in bars]
-    axis.bar(places, below, color="0.8", label="worth")
+    figure, axis = pyplot.subplots(figsize=(max(8.0, 0.9 * len(bars)), 6.0))
+    positions = range(len(bars))
+    bottom = [mean(one.worths) for _, one in bars]
+    axis.bar(positions, bottom, color="0.8", label="worth")
     for name in names:
         heights = [mean(one.parts[name]) for _, one in bars]
-        axis.bar(places, heights, bottom=below, label=name)
-        below = [low + height for low, height in zip(below, heights, strict=True)]
+        axis.bar(positions, heights, bottom=bottom, label=name)
+        bottom = [low + height for low, height in zip(bottom, heights, strict=True)]
     heights = [sum(map(mean, one.prices.values())) for _, one in bars]
-    axis.bar(places, heights, bottom=below, label="prices", color="0.3")
-    axis.set_xticks(places, [name for name, _ in bars], rotation=60, ha="right", fontsize="small")
+    axis.bar(positions, heights, bottom=bottom, label="prices", color="0.3")
+    axis.set_xticks(
+        positions, [name for name, _ in bars], rotation=60, ha="right", fontsize="small"
+    )
     axis.legend(fontsize="small", ncols=3)
-    drawing.tight_layout()
-    drawing.savefig(path, dpi=90)
-    pyplot.close(drawing)
+    figure.tight_layout()
+    figure.savefig(path, dpi=90)
+    pyplot.close(figure)
 
 
 def main() -> None:
-    """Prints the tables."""
+    """Prints the tables and writes the plot if one is asked for."""
     parser = argparse.ArgumentParser(description="Where worth is lost, by the journal.")
     parser.add_argument("--since", default="", help="commit from whose first entry on days count")
     parser.add_argument("--site", action="append", default=[], help="only these deployments")
     parser.add_argument("--plot", type=Path, default=None, help="PNG file to write")
     args = parser.parse_args()
     days = whole_days(entries(JOURNAL), args.since, args.site)
-    found = {site: by_kind(some) for site, some in days.items()}
+    found = {site: by_kind(played) for site, played in days.items()}
     for site, kinds in found.items():
         print_losses(site, kinds)
         print_effects(effects(days[site]))
--- a/deploy/pairs.py
+++ b/deploy/pairs.py
@@ -1,12 +1,15 @@
-"""Days on which each pair of a site's kinds of trouble meets at least once, and a table of them.
+"""Writes days on which each pair of a site's kinds of trouble occurs, and tabulates the results.
 
     python3 deploy/pairs.py write SITE.toml DIRECTORY [--seed N] [--each N]
     python3 deploy/pairs.py table DIRECTORY
 
-`write` draws days greedily from the list `troubles` of a site file, which it takes as it is, until
-all pairs of kinds are covered; each is a file for `fleetbench run SITE FILE`, whose output belongs
-beside it as NAME.out. `table` counts, for each pair, the days played on which both came, and names
-the days that broke a rule. Times are drawn, so a pair meets early, late, one in the other or apart.
+A trouble is a fault or a planned operation. `write` draws days greedily from the list `troubles` of
+a site file, whose entries are used unchanged, until all pairs of kinds are covered. Each day is a
+file for `fleetbench run SITE FILE`; save the output of that run next to it as NAME.out. `table`
+counts, for each pair, the played days that had both kinds, and lists the days that broke a rule.
+
+Start times are drawn at random, so the troubles of a pair may come early or late in the day, one
+within the other or apart.
 """
 
 from __future__ import annotations
@@ -19,10 +22,10 @@
 from pathlib import Path
 from typing import Any, Final
 
-FIRST_AT: Final = 1.0  # Seconds from the start of traffic to the first trouble.
-LAST_AT: Final = 30.0  # A day lasts 41 s; what begins here can be seen to end.
-LENGTH: Final = 41.0
-# Work that an operator plans; all else are faults.
+EARLIEST_START: Final = 1.0  # Earliest start of a trouble, in seconds from the start of traffic
+LATEST_START: Final = 30.0  # Latest start, in seconds: a day lasts 41 s, so the end can be observed
+DAY_LENGTH: Final = 41.0  # Seconds
+# Kinds that are operations planned by an operator; all others are faults.
 PLANNED: Final = frozenset(
     {
         "add_nodes",
@@ -38,8 +41,8 @@
         "version_bump",
     }
 )
-# Kinds that a site's list may lack and that may come all the same.
-MORE: Final[tuple[dict[str, Any], ...]] = (
+# Troubles that are added if the site's list lacks their kind, since they can occur there too.
+EXTRA_TROUBLES: Final[tuple[dict[str, Any], ...]] = (
     {"kind": "srv_slow", "share": 0.15, "x": 4.0, "for_s": 5.0},
     {"kind": "srv_cut", "share": 0.2, "for_s": 5.0},
     {"kind": "replace_with_reuse", "share": 0.15},
@@ -50,7 +53,7 @@
 
 
 def toml(value: Any) -> str:
-    """Returns the TOML form of a value, tables in one line."""
+    """Returns a value as TOML, with inline tables."""
     if isinstance(value, dict):
         return "{ " + ", ".join(f"{key} = {toml(one)}" for key, one in value.items()) + " }"
     if isinstance(value, list):
@@ -61,41 +64,54 @@
 
 
 def draw(
-    templates: list[dict[str, Any]], each: int, rng: random.Random
+    templates: list[dict[str, Any]], kinds_per_day: int, rng: random.Random
 ) -> list[list[dict[str, Any]]]:
-    """Returns the troubles of each day; all pairs of kinds are in some day."""
+    """Draws the troubles of each day, so that each pair of kinds occurs on some day.
+
+    Args:
+        templates: Troubles to choose from; a kind may have several.
+        kinds_per_day: Kinds of trouble on each day.
+        rng: Source of random choices.
+
+    Returns:
+        The troubles of each day, with their start times `at` in seconds.
+    """
     kinds = sorted({one["kind"] for one in templates})
-    left = set(itertools.combinations(kinds, 2))
+    uncovered = set(itertools.combinations(kinds, 2))
     days = []
-    while left:
-        chosen = list(rng.choice(sorted(left)))
-        while len(chosen) < each:
-            rest = [kind for kind in kinds if kind not in chosen]
-            rng.shuffle(rest)
-            chosen.append(max(rest, key=lambda kind: sum(_pair(kind, c) in left for c in chosen)))
-        left -= {_pair(a, b) for a, b in itertools.combinations(chosen, 2)}
+    while uncovered:
+        chosen = list(rng.choice(sorted(uncovered)))
+        while len(chosen) < kinds_per_day:
+            others = [kind for kind in kinds if kind not in chosen]
+            rng.shuffle(others)
+            chosen.append(
+                max(others, key=lambda new: sum(_sorted_pair(new, c) in uncovered for c in chosen))
+            )
+        uncovered -= {_sorted_pair(a, b) for a, b in itertools.combinations(chosen, 2)}
         day = [rng.choice([one for one in templates if one["kind"] == kind]) for kind in chosen]
-        days.append([{**one, "at": round(rng.uniform(FIRST_AT, LAST_AT), 2)} for one in day])
+        days.append(
+            [{**one, "at": round(rng.uniform(EARLIEST_START, LATEST_START), 2)} for one in day]
+        )
     return days
 
 
-def _pair(a: str, b: str) -> tuple[str, str]:
+def _sorted_pair(a: str, b: str) -> tuple[str, str]:
     return (a, b) if a < b else (b, a)
 
 
-def write(site_file: Path, directory: Path, seed: int, each: int) -> None:
-    """Writes the day files."""
+def write(site_file: Path, directory: Path, seed: int, kinds_per_day: int) -> None:
+    """Writes the day files; classes and traffic are those of the site's quiet day."""
     site = tomllib.loads(site_file.read_text())
     quiet = next(day for day in site["day"] if day.get("slot") == "quiet")
     listed = {one["kind"] for one in site["troubles"]}
-    templates = site["troubles"] + [one for one in MORE if one["kind"] not in listed]
+    templates = site["troubles"] + [one for one in EXTRA_TROUBLES if one["kind"] not in listed]
     rng = random.Random(seed)
     directory.mkdir(parents=True, exist_ok=True)
-    for number, troubles in enumerate(draw(templates, each, rng)):
+    for number, troubles in enumerate(draw(templates, kinds_per_day, rng)):
         day = {
             "name": f"pairs-{number}",
             "seed": rng.randrange(1, 1 << 27),
-            "length_s": LENGTH,
+            "length_s": DAY_LENGTH,
             "plan": [one for one in troubles if one["kind"] in PLANNED],
             "faults": [one for one in troubles if one["kind"] not in PLANNED],
             "classes": quiet["classes"],
@@ -106,7 +122,7 @@
 
 
 def table(directory: Path) -> None:
-    """Prints how often each pair was played, and which days broke a rule."""
+    """Prints how many played days had each pair, and which days broke a rule."""
     played: dict[tuple[str, str], int] = {}
     broken = []
     kinds: set[str] = set()
@@ -127,7 +143,8 @@
     print("|" + "---|" * (len(names) + 1))
     for number, row in enumerate(names):
         cells = [
-            str(played.get(_pair(row, column), "")) if row != column else "" for column in names
+            str(played.get(_sorted_pair(row, column), "")) if row != column else ""
+            for column in names
         ]
         print(f"| {number} {row} | " + " | ".join(cells) + " |")
     missing = [pair for pair in itertools.combinations(names, 2) if pair not in played]
@@ -136,16 +153,16 @@
 
 
 def main() -> int:
-    """Reads the arguments and does what they ask for."""
+    """Runs the command `write` or `table`."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
-    verbs = parser.add_subparsers(dest="verb", required=True)
-    writing = verbs.add_parser("write")
-    writing.add_argument("site", type=Path)
-    writing.add_argument("directory", type=Path)
-    writing.add_argument("--seed", type=int, default=1)
-    writing.add_argument("--each", type=int, default=9, help="kinds of trouble a day")
-    showing = verbs.add_parser("table")
-    showing.add_argument("directory", type=Path)
+    commands = parser.add_subparsers(dest="verb", required=True)
+    write_parser = commands.add_parser("write")
+    write_parser.add_argument("site", type=Path)
+    write_parser.add_argument("directory", type=Path)
+    write_parser.add_argument("--seed", type=int, default=1)
+    write_parser.add_argument("--each", type=int, default=9, help="kinds of trouble a day")
+    table_parser = commands.add_parser("table")
+    table_parser.add_argument("directory", type=Path)
     args = parser.parse_args()
     if args.verb == "write":
         write(args.site, args.directory, args.seed, args.each)
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/__init__.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/__init__.py
@@ -1,5 +1,5 @@
-"""The command line of wigeonarch's operators, a client of the published schema.
+"""`wigeonctl`, the command line for wigeonarch's operators; a client of the published schema.
 
-`cli` parses, `commands` does, `session` calls the server, `render` prints, `texts` holds what is
-said to people and `exits` the exit codes.
+`cli` parses the command line, `commands` implements the commands, `session` calls the server,
+`render` prints replies, `texts` holds the messages for operators and `exits` the exit codes.
 """
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/arguments.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/arguments.py
@@ -1,4 +1,4 @@
-"""Types of arguments: each checks one text and returns its value, for `argparse`."""
+"""Argument types for `argparse`: each function validates an argument's text and converts it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def entry_name(kind: int) -> Callable[[str], str]:
-    """Returns the type of an entry's name."""
+    """Returns an argument type that accepts names of entries of a kind."""
 
     def check(text: str) -> str:
         if parse_entry_name(kind, text) is None:
@@ -33,7 +33,7 @@
 
 
 def whole_number(minimum: int, maximum: int) -> Callable[[str], int]:
-    """Returns the type of a whole number within bounds."""
+    """Returns an argument type that accepts integers from `minimum` to `maximum`."""
 
     def check(text: str) -> int:
         number = _parse_integer(text)
@@ -46,7 +46,7 @@
 
 
 def seconds_as_ms(text: str) -> int:
-    """Checks a number of seconds and returns it in milliseconds, rounded up."""
+    """Parses a number of seconds and returns it in milliseconds, rounded up."""
     seconds = _parse_float(text)
     if not 0 <= seconds <= MAX_SECONDS:
         message = texts.BAD_SECONDS.format(text=text, most=MAX_SECONDS)
@@ -55,7 +55,7 @@
 
 
 def timeout(text: str) -> float:
-    """Checks a number of seconds above 0."""
+    """Parses a timeout: a number of seconds above 0."""
     seconds = _parse_float(text)
     if not 0 < seconds <= MAX_SECONDS:
         message = texts.BAD_TIMEOUT.format(text=text, most=MAX_SECONDS)
@@ -64,7 +64,7 @@
 
 
 def version_split(text: str) -> pb.Split:
-    """Checks a split of a rule, `VERSION=WEIGHT`."""
+    """Parses `VERSION=WEIGHT`, the traffic share of one adapter version in a rule."""
     version, _, weight = text.rpartition("=")
     number = _parse_integer(weight)
     if not version or number is None or not 1 <= number <= UINT32_MAX:
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/cli.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/cli.py
@@ -1,7 +1,7 @@
-"""The binary `wigeonctl`: parses the command line, connects and runs one command.
+"""Entry point of `wigeonctl`: parses the command line, connects to a server and runs one command.
 
-The parser is built from small functions, one for each group of commands; each leaf sets `run` to
-its function in `commands`.
+Each group of commands has a function that adds its parsers. The parser of a command sets `run` to
+the function in `commands` that implements it.
 """
 
 from __future__ import annotations
@@ -34,10 +34,12 @@
     "plain": pb.SERVICE_KIND_PLAIN,
 }
 
-# Options, in seconds, that make the server wait; the call must outlast them.
+# Options, given in seconds, that set how long the server waits before it replies. The call's
+# timeout must be longer, or the reply would be lost.
 WAIT_OPTION_BY_COMMAND: Final = {commands.submit: "deadline"}
 DEFAULT_WAIT_OPTION: Final = "wait"
 
+# Adds the options for one kind of entry; the flag is True for `create` and False for `update`.
 AddOptions = Callable[[argparse.ArgumentParser, bool], None]
 
 
@@ -45,7 +47,7 @@
     """Runs one command.
 
     Args:
-        argv: The arguments without the program's name; None for the process's own.
+        argv: The arguments without the program's name; None for those of the process.
 
     Returns:
         One of the codes of `exits`.
@@ -70,8 +72,8 @@
     )
     _add_global_options(parser)
     groups = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    for kind, (word, add_options) in ENTRY_GROUPS.items():
-        _add_entry_group(groups, kind, word, add_options)
+    for kind, (kind_name, add_options) in ENTRY_GROUPS.items():
+        _add_entry_group(groups, kind, kind_name, add_options)
     _add_change(groups)
     _add_submit(groups)
     _add_lookup(groups)
@@ -106,12 +108,12 @@
 
 
 def _reads_logs(args: argparse.Namespace) -> bool:
-    """Tells whether the command reads log files."""
+    """Returns whether the command reads log files instead of calling a server."""
     return bool(getattr(args, "logs", None))
 
 
 def _check_arguments(parser: argparse.ArgumentParser, args: argparse.Namespace) -> None:
-    """Ends the program with a usage error when arguments do not go together."""
+    """Exits with a usage error if the arguments are incomplete or contradict each other."""
     if _reads_logs(args) or args.command == "teams":
         return
     if not args.server:
@@ -126,14 +128,14 @@
 
 
 def _check_submit(parser: argparse.ArgumentParser, args: argparse.Namespace) -> None:
-    """Refuses options that belong to the other kind of work, which would be ignored."""
-    foreign = _INAPPLICABLE_OPTIONS["operation" if args.prompt is None else "prompt"]
-    if getattr(args, foreign.replace("-", "_")) is not None:
+    """Rejects the option that applies only to the other kind of request; it would be ignored."""
+    inapplicable = _INAPPLICABLE_OPTIONS["operation" if args.prompt is None else "prompt"]
+    if getattr(args, inapplicable.replace("-", "_")) is not None:
         other = "prompt" if args.prompt is None else "operation"
-        parser.error(texts.INAPPLICABLE_OPTION.format(option=foreign, other=other))
+        parser.error(texts.INAPPLICABLE_OPTION.format(option=inapplicable, other=other))
 
 
-# The option that says nothing about each kind of work.
+# By kind of request: the option that doesn't apply to it.
 _INAPPLICABLE_OPTIONS: Final = {"prompt": "body", "operation": "max-tokens"}
 
 
@@ -179,29 +181,39 @@
     )
 
 
-def _add_entry_group(groups: Subparsers, kind: int, word: str, add_options: AddOptions) -> None:
-    """Adds the commands on one kind of entries."""
-    group = groups.add_parser(word, help=f"create, update, list, get or delete {word} entries")
+def _add_entry_group(
+    groups: Subparsers, kind: int, kind_name: str, add_options: AddOptions
+) -> None:
+    """Adds the commands for one kind of entry."""
+    group = groups.add_parser(
+        kind_name, help=f"create, update, list, get or delete {kind_name} entries"
+    )
     group.set_defaults(entry_kind=kind)
     verbs = group.add_subparsers(dest="verb", required=True, metavar="VERB")
 
-    creating = _add_entry_command(verbs, "create", f"create one {word}", kind, commands.create)
-    add_options(creating, True)
-    _add_mutation_options(creating)
-    creating.set_defaults(expected_version=ABSENT_ENTRY_VERSION)
+    create_parser = _add_entry_command(
+        verbs, "create", f"create one {kind_name}", kind, commands.create
+    )
+    add_options(create_parser, True)
+    _add_mutation_options(create_parser)
+    create_parser.set_defaults(expected_version=ABSENT_ENTRY_VERSION)
 
-    updating = _add_entry_command(verbs, "update", f"change one {word}", kind, commands.update)
-    add_options(updating, False)
-    _add_expected_version(updating)
-    _add_mutation_options(updating)
+    update_parser = _add_entry_command(
+        verbs, "update", f"change one {kind_name}", kind, commands.update
+    )
+    add_options(update_parser, False)
+    _add_expected_version(update_parser)
+    _add_mutation_options(update_parser)
 
-    deleting = _add_entry_command(verbs, "delete", f"delete one {word}", kind, commands.delete)
-    _add_expected_version(deleting)
-    _add_mutation_options(deleting)
+    delete_parser = _add_entry_command(
+        verbs, "delete", f"delete one {kind_name}", kind, commands.delete
+    )
+    _add_expected_version(delete_parser)
+    _add_mutation_options(delete_parser)
 
-    _add_entry_command(verbs, "get", f"show one {word}", kind, commands.get)
-    listing = verbs.add_parser("list", help=f"show every {word}")
-    listing.set_defaults(run=commands.list_entries)
+    _add_entry_command(verbs, "get", f"show one {kind_name}", kind, commands.get)
+    list_parser = verbs.add_parser("list", help=f"show every {kind_name}")
+    list_parser.set_defaults(run=commands.list_entries)
 
 
 def _add_entry_command(
@@ -219,7 +231,7 @@
         type=arguments.whole_number(1, arguments.UINT64_MAX),
         required=True,
         metavar="N",
-        help="version number that `get` shows; refused when the entry has another one by now",
+        help="version that `get` shows; the command is refused if the entry has another one",
     )
 
 
@@ -228,7 +240,7 @@
         "--operation-id",
         default="",
         metavar="ID",
-        help="identifies the change; repeat a command with its id to make it at most once",
+        help="identifies the change; a command repeated with the same id takes effect at most once",
     )
     _add_wait(parser)
 
@@ -239,7 +251,7 @@
         type=arguments.seconds_as_ms,
         default=DEFAULT_WAIT_MS,
         metavar="SECONDS",
-        help="how long to wait for the change to be in force in every zone (default: "
+        help="how long to wait until the change is in force in every zone (default: "
         f"{DEFAULT_WAIT_MS / arguments.MS_PER_S:g})",
     )
 
@@ -252,20 +264,20 @@
             type=_parse_service_kind,
             required=True,
             metavar="{model,plain}",
-            help="what stands behind the service",
+            help="kind of the service: model engines or plain endpoints",
         )
     parser.add_argument("--base-model", metavar="NAME", help="base model of a model service")
     parser.add_argument(
         "--deadline",
         type=arguments.seconds_as_ms,
         metavar="SECONDS",
-        help="deadline of requests that bring none",
+        help="deadline of requests that set none",
     )
     parser.add_argument(
         "--fencing-endpoint",
         action="append",
         metavar="NAME",
-        help="endpoint that checks fencing numbers, may be repeated; * for all, '' for none",
+        help="endpoint that checks fencing tokens, may be repeated; * for all, '' for none",
     )
 
 
@@ -277,7 +289,7 @@
 
 
 def _add_adapter_options(_: argparse.ArgumentParser, __: bool) -> None:
-    """An adapter has nothing but its name."""
+    """Adds nothing: an adapter has no attributes besides its name."""
 
 
 def _add_version_options(parser: argparse.ArgumentParser, creating: bool) -> None:
@@ -299,7 +311,7 @@
         type=arguments.version_split,
         required=True,
         metavar="VERSION=WEIGHT",
-        help="a version's share, may be repeated; replaces all splits of the rule",
+        help="a version's share of the traffic, may be repeated; replaces all splits of the rule",
     )
 
 
@@ -312,7 +324,7 @@
 
 
 def _add_change(groups: Subparsers) -> None:
-    parser = groups.add_parser("change", help="show what became of a change")
+    parser = groups.add_parser("change", help="show the status of a change")
     parser.add_argument("operation_id", metavar="OPERATION-ID")
     _add_wait(parser)
     parser.set_defaults(run=commands.change)
@@ -324,14 +336,16 @@
         "model", metavar="MODEL", help="SERVICE/ADAPTER[@VERSION], or a plain service's name"
     )
     work = parser.add_mutually_exclusive_group(required=True)
-    work.add_argument("--prompt", metavar="TEXT", help="generate from it; - reads it from stdin")
-    work.add_argument("--operation", metavar="NAME", help="call it on a plain service")
+    work.add_argument(
+        "--prompt", metavar="TEXT", help="prompt to generate from; - reads it from stdin"
+    )
+    work.add_argument("--operation", metavar="NAME", help="operation to call on a plain service")
     parser.add_argument("--body", metavar="JSON", help="body of the call; - reads it from stdin")
     parser.add_argument(
         "--max-tokens",
         type=arguments.whole_number(0, arguments.UINT32_MAX),
         metavar="N",
-        help="0 for the server's default",
+        help="most tokens to generate; 0 for the server's default",
     )
     parser.add_argument("--stream", action="store_true", help="print text while it is generated")
     _add_request_options(parser)
@@ -339,34 +353,38 @@
 
 
 def _add_request_options(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--non-idempotent", action="store_true", help="run it at most once")
+    parser.add_argument(
+        "--non-idempotent", action="store_true", help="run the request at most once"
+    )
     parser.add_argument(
         "--key",
         default="",
         metavar="KEY",
-        help="idempotency key; made for a non-idempotent request that has none",
+        help="idempotency key; generated for a non-idempotent request that has none",
     )
     parser.add_argument(
         "--deadline",
         type=arguments.seconds_as_ms,
         default=0,
         metavar="SECONDS",
-        help="0 for the service's default",
+        help="deadline of the request; 0 for the service's default",
     )
     parser.add_argument(
         "--priority",
         type=arguments.whole_number(arguments.INT32_MIN, arguments.INT32_MAX),
         default=0,
         metavar="N",
-        help="higher goes first (default: 0)",
+        help="requests of a higher priority are served first (default: 0)",
     )
-    parser.add_argument("--caller", default="", metavar="NAME", help="who asks")
+    parser.add_argument("--caller", default="", metavar="NAME", help="name of the caller")
 
 
 def _add_lookup(groups: Subparsers) -> None:
-    parser = groups.add_parser("lookup", help="show what is known of an earlier request")
+    parser = groups.add_parser("lookup", help="show the state of an earlier request")
     parser.add_argument("request_id", nargs="?", metavar="REQUEST-ID")
-    parser.add_argument("--service", metavar="NAME", help="service of the idempotency key")
+    parser.add_argument(
+        "--service", metavar="NAME", help="service that the idempotency key belongs to"
+    )
     parser.add_argument("--key", metavar="KEY", help="idempotency key of the request")
     parser.set_defaults(run=commands.lookup)
 
@@ -386,7 +404,7 @@
 
 
 def _add_teams(groups: Subparsers) -> None:
-    parser = groups.add_parser("teams", help="show what teams used of their quotas")
+    parser = groups.add_parser("teams", help="show how much of their quotas teams used")
     parser.add_argument(
         "--metrics", nargs="+", required=True, metavar="HOST:PORT", help=texts.METRICS_HELP
     )
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/commands.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/commands.py
@@ -1,4 +1,7 @@
-"""What each command does: calls to a server, a reply shown, an exit code returned."""
+"""Implements the commands: each calls a server, prints the reply and returns an exit code.
+
+`explain_logs` and `teams` read log files and metrics instead of calling a server.
+"""
 
 from __future__ import annotations
 
@@ -23,13 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Console:
-    """Where a command prints.
+    """The output functions of a command.
 
     Attributes:
-        output: One of `render.OUTPUTS`.
-        show: Prints a reply.
-        write: Prints text as it is.
-        advise: Prints a line for people, apart from the replies.
+        output: The output format, one of `render.OUTPUTS`.
+        show: Prints a reply in the output format.
+        write: Prints text unchanged.
+        advise: Prints advice for the operator, separately from replies.
     """
 
     output: str
@@ -42,15 +45,15 @@
 
 
 def create(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Creates an entry; refused when it exists."""
+    """Creates an entry; the server refuses if it exists."""
     return _put_entry(console, session, args, EMPTY_ENTRY)
 
 
 def update(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Sets the named fields of an entry that has the expected version.
+    """Sets the given fields of an entry that has the expected version.
 
-    The server decides on the expected version. Only an instance that is behind is refused here:
-    its old fields must not be written over newer ones.
+    The server checks the expected version. This function checks only for an instance whose copy of
+    the entry is older than that version: its old fields must not overwrite newer ones.
     """
     entry = _get_entry(session, args)
     if isinstance(entry, CallError):
@@ -66,12 +69,12 @@
 
 
 def delete(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Deletes an entry that has the expected version."""
+    """Deletes an entry if it has the expected version."""
     return _mutate(console, session, args, delete_entry(args))
 
 
 def get(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Shows one entry."""
+    """Prints one entry."""
     entry = _get_entry(session, args)
     if isinstance(entry, CallError):
         return _report_error(console, entry)
@@ -80,23 +83,23 @@
 
 
 def list_entries(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Shows all entries of a kind."""
-    found = pb.ListEntriesReply()
+    """Prints all entries of a kind."""
+    reply = pb.ListEntriesReply()
     request = pb.ListEntriesRequest(kind=args.entry_kind)
     while True:
         page = session.call(session.catalogue.ListEntries, request)
         if isinstance(page, CallError):
             return _report_error(console, page)
-        found.entries.extend(page.entries)
+        reply.entries.extend(page.entries)
         if not page.next_page_token:
             break
         request.page_token = page.next_page_token
-    console.show(found)
+    console.show(reply)
     return exits.OK
 
 
 def change(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Shows what became of an earlier change."""
+    """Prints the status of an earlier change."""
     request = pb.GetChangeRequest(operation_id=args.operation_id, wait_ms=args.wait)
     missing = CallError(
         exits.UNKNOWN, texts.CHANGE_NOT_FOUND.format(operation_id=args.operation_id)
@@ -106,7 +109,7 @@
 
 
 def submit(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Submits a request and shows its outcome, or streams its text."""
+    """Submits a request and prints its outcome, or streams its text."""
     request = _make_submit_request(args)
     lost = _make_lost_submit_handler(request)
     if args.stream:
@@ -119,7 +122,7 @@
 
 
 def lookup(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Shows what is known of an earlier request."""
+    """Prints the state of an earlier request."""
     request = pb.LookupRequest(request_id=args.request_id or "")
     if args.key:
         key = pb.ServiceKey(service=args.service, idempotency_key=args.key)
@@ -136,7 +139,7 @@
 
 
 def explain(console: Console, session: Session, args: argparse.Namespace) -> int:
-    """Shows the decisions about a request that an instance remembers."""
+    """Prints the decisions about a request that an instance has recorded."""
     request = pb.ExplainRequest(request_id=args.request_id)
     missing = CallError(exits.NOT_RUN, texts.DECISIONS_NOT_FOUND)
     reply = session.call(session.requests.Explain, request, missing=missing)
@@ -147,22 +150,22 @@
 
 
 def explain_logs(console: Console, args: argparse.Namespace) -> int:
-    """Shows what log files tell of a request, and the cause of its outcome."""
+    """Prints the log lines about a request and the cause of its outcome."""
     try:
         lines = logtrace.read_files(args.logs)
     except OSError as exc:
         console.advise(texts.UNREADABLE_FILE.format(path=exc.filename, reason=exc.strerror))
         return exits.USAGE
-    found = logtrace.trace_request(lines, args.request_id)
-    for line in [*found.lines, *found.endpoints]:
+    trace = logtrace.trace_request(lines, args.request_id)
+    for line in [*trace.lines, *trace.endpoints]:
         pairs = " ".join(f"{key}={value}" for key, value in line.fields.items())
         console.write(f"{line.timestamp} {line.event} {pairs}\n")
-    console.write(f"cause: {found.cause}\n")
-    return exits.OK if found.lines else exits.NOT_RUN
+    console.write(f"cause: {trace.cause}\n")
+    return exits.OK if trace.lines else exits.NOT_RUN
 
 
 def teams(console: Console, args: argparse.Namespace) -> int:
-    """Shows what teams used of their quotas, by the metrics of all instances that are named."""
+    """Prints the quota usage of teams, summed over the metrics of the given instances."""
     pages = []
     for address in args.metrics:
         try:
@@ -176,7 +179,7 @@
 
 
 def status(console: Console, session: Session, _: argparse.Namespace) -> int:
-    """Shows the state of the fleet."""
+    """Prints the state of the fleet."""
     reply = session.call(session.fleet.Status, pb.StatusRequest())
     if isinstance(reply, CallError):
         return _report_error(console, reply)
@@ -249,7 +252,7 @@
 
 
 def _make_submit_request(args: argparse.Namespace) -> pb.SubmitRequest:
-    """Returns the request; one that may run only once gets a key, to look it up by."""
+    """Builds the request; a non-idempotent one gets an idempotency key, for `lookup`."""
     key = args.key or (uuid.uuid4().hex if args.non_idempotent else "")
     request = pb.SubmitRequest(
         model=args.model,
@@ -283,39 +286,39 @@
 def _submit_streamed(
     console: Console, session: Session, request: pb.SubmitRequest, lost: LostReplyHandler
 ) -> int:
-    end = _read_stream(console, session, request, lost)
+    result = _read_stream(console, session, request, lost)
     if console.output == render.TABLE:
         console.write("\n")
-    if isinstance(end, CallError):
-        return _report_error(console, end)
+    if isinstance(result, CallError):
+        return _report_error(console, result)
     if console.output == render.TABLE:
-        console.advise("\n".join(render.table_blocks(end)))
-    return _report_outcome(console, end)
+        console.advise("\n".join(render.table_blocks(result)))
+    return _report_outcome(console, result)
 
 
 def _read_stream(
     console: Console, session: Session, request: pb.SubmitRequest, lost: LostReplyHandler
 ) -> pb.SubmitReply | CallError:
-    """Prints chunks as they come; returns the end, or why there is none.
+    """Prints chunks as they arrive and returns the final event's reply, or an error without one.
 
-    Once a chunk has come, no error can mean that the request did not run.
+    After the first chunk, no error may be reported as "not run": the request has started.
     """
     code = grpc.StatusCode.DATA_LOSS.name
-    expected = 0
+    next_seq = 0
     events = session.requests.SubmitStream(request, timeout=session.timeout)
     try:
         for event in events:
             if event.WhichOneof("event") == "end":
                 _print_event(console, event)
                 return event.end
-            if event.chunk.seq != expected:
+            if event.chunk.seq != next_seq:
                 events.cancel()
-                gap = texts.STREAM_CHUNKS_MISSING.format(expected=expected, found=event.chunk.seq)
+                gap = texts.STREAM_CHUNKS_MISSING.format(expected=next_seq, found=event.chunk.seq)
                 return lost(code, gap)
-            expected += 1
+            next_seq += 1
             _print_event(console, event)
     except grpc.RpcError as exc:
-        return session.error_of_failed_call(exc, lost, reply_started=expected > 0)
+        return session.error_of_failed_call(exc, lost, reply_started=next_seq > 0)
     except KeyboardInterrupt:
         events.cancel()
         return lost(grpc.StatusCode.CANCELLED.name, texts.INTERRUPTED_CALL)
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/exits.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/exits.py
@@ -1,7 +1,7 @@
-"""Exit codes of the command line and the tables that lead to them.
+"""Exit codes of the command line, and the tables that map replies to them.
 
-Scripts rely on these numbers. `NOT_RUN` is a promise that nothing was done; whenever that can't be
-known the code is `UNKNOWN`.
+Scripts rely on these numbers. `NOT_RUN` guarantees that nothing was done; where that isn't certain,
+the code is `UNKNOWN`.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 
 
 def of_status(status: int) -> int:
-    """Returns the exit code for a change; a status of a newer schema counts as unknown."""
+    """Returns the exit code for a change's status; `UNKNOWN` for a status of a newer schema."""
     return BY_STATUS.get(status, UNKNOWN)
 
 
 def of_outcome(outcome: int) -> int:
-    """Returns the exit code for a request; an outcome of a newer schema counts as unknown."""
+    """Returns the exit code for a request's outcome; `UNKNOWN` for one of a newer schema."""
     return BY_OUTCOME.get(outcome, UNKNOWN)
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/mutations.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/mutations.py
@@ -1,7 +1,7 @@
-"""Builds the changes to entries from the present entry and the command's arguments.
+"""Builds mutations of entries from the current entry and the command's arguments.
 
-A change writes the whole entry, so an update starts from the entry as it is and sets only what the
-operator named. An empty entry stands for one that is to be created.
+A mutation writes the whole entry, so an update copies the current entry and sets only the fields
+that the operator gave. To create an entry, the current entry is an empty one.
 """
 
 from __future__ import annotations
@@ -62,12 +62,12 @@
 
 
 def put_entry(entry: pb.Entry, name: EntryName, args: argparse.Namespace) -> pb.Mutation:
-    """Returns the change that writes an entry with the arguments' values.
+    """Returns the mutation that writes an entry with the arguments' values.
 
     Args:
-        entry: The entry as it is; an empty one when it is to be created.
+        entry: The current entry; an empty one to create it.
         name: Name of the entry.
-        args: The command's arguments; `entry_kind` and `expected_version` among them.
+        args: The command's arguments, including `entry_kind` and `expected_version`.
     """
     mutation = BUILDERS[args.entry_kind](entry, name, args)
     mutation.expected_version = args.expected_version
@@ -75,7 +75,7 @@
 
 
 def delete_entry(args: argparse.Namespace) -> pb.Mutation:
-    """Returns the change that deletes the entry that the arguments name."""
+    """Returns the mutation that deletes the entry named by the arguments."""
     return pb.Mutation(
         delete_entry=pb.DeleteEntry(kind=args.entry_kind, name=args.name),
         expected_version=args.expected_version,
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/names.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/names.py
@@ -1,4 +1,4 @@
-"""Names of entries, checked and taken apart before anything is sent."""
+"""Names of entries: they are validated and parsed before anything is sent to a server."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryName:
-    """The parts of an entry's name; a part that the kind does not have is empty."""
+    """The parts of an entry's name; empty where names of its kind lack that part."""
 
     service: str
     adapter: str = ""
@@ -36,6 +36,6 @@
 
 
 def parse_entry_name(kind: int, text: str) -> EntryName | None:
-    """Takes a name apart; returns None when it does not have the form of its kind."""
-    found = _PATTERNS[kind].fullmatch(text)
-    return EntryName(**found.groupdict()) if found else None
+    """Parses a name; returns None if it doesn't have the form that its kind requires."""
+    match = _PATTERNS[kind].fullmatch(text)
+    return EntryName(**match.groupdict()) if match else None
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/render.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/render.py
@@ -1,8 +1,8 @@
 """Prints replies as JSON or as tables.
 
-JSON is the schema's own mapping with the schema's field names, one document for each reply (64-bit
-numbers are strings there). A table is built from sections, each a heading row and rows of text;
-one small function for each kind of reply makes its sections.
+JSON output has one document for each reply, in Protocol Buffers' JSON mapping (where 64-bit numbers
+are strings) with the field names of the schema. Table output consists of sections, each a heading
+row and rows of cells; `BUILDERS` has a function for each type of reply that builds its sections.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A part of a table.
+    """A part of the table output, with columns of its own.
 
     Attributes:
         heading: Titles of the columns.
-        rows: Cells, as many in each row as there are titles.
+        rows: Rows of cells, with one cell for each title.
     """
 
     heading: Sequence[str]
@@ -45,7 +45,7 @@
 
     Args:
         output: One of `OUTPUTS`.
-        write: Takes text as it is to appear, line ends included.
+        write: Prints text unchanged, without adding line ends.
     """
 
     def show_json(message: Message) -> None:
@@ -66,7 +66,7 @@
 
 
 def table_blocks(message: Message) -> list[str]:
-    """Returns a reply as blocks of text, one for each section that has rows."""
+    """Returns a reply as blocks of aligned text, one for each section that has rows."""
     build = BUILDERS[message.DESCRIPTOR.name]
     return [_format_section(section) for section in build(message) if section.rows]
 
@@ -191,22 +191,33 @@
 
 
 def _explain_sections(reply: pb.ExplainReply) -> list[Section]:
-    rows = [(f"{d.at_s:.6f}", d.step, d.reason, d.detail) for d in reply.decisions]
+    rows = [
+        (f"{decision.at_s:.6f}", decision.step, decision.reason, decision.detail)
+        for decision in reply.decisions
+    ]
     return [Section(("AT, S", "STEP", "REASON", "DETAIL"), rows)]
 
 
 def _instance_table(reply: pb.StatusReply) -> Section:
     rows = [
-        (one.name, one.zone, one.ready, one.draining, one.applied_change, one.lease)
-        for one in reply.instances
+        (
+            instance.name,
+            instance.zone,
+            instance.ready,
+            instance.draining,
+            instance.applied_change,
+            instance.lease,
+        )
+        for instance in reply.instances
     ]
     return Section(("INSTANCE", "ZONE", "READY", "DRAINING", "CHANGE", "LEASE"), rows)
 
 
 def _format_loaded(engine: pb.EngineStatus) -> str:
     names = (
-        f"{one.adapter}@{one.version}" + ("" if one.state == "loaded" else f"({one.state})")
-        for one in engine.loaded
+        f"{adapter.adapter}@{adapter.version}"
+        + ("" if adapter.state == "loaded" else f"({adapter.state})")
+        for adapter in engine.loaded
     )
     return ",".join(names)
 
@@ -218,18 +229,31 @@
     )
     rows = [
         (
-            *(one.name, one.zone, one.service, one.state, one.owner, one.fencing_number),
-            *(one.incarnation, one.slots, one.queue, one.running, _format_loaded(one)),
+            *(
+                engine.name,
+                engine.zone,
+                engine.service,
+                engine.state,
+                engine.owner,
+                engine.fencing_number,
+            ),
+            *(
+                engine.incarnation,
+                engine.slots,
+                engine.queue,
+                engine.running,
+                _format_loaded(engine),
+            ),
         )
-        for one in reply.engines
+        for engine in reply.engines
     ]
     return Section(heading, rows)
 
 
 def _status_sections(reply: pb.StatusReply) -> list[Section]:
-    zones = [(one.zone, one.lowest_applied, one.highest_applied) for one in reply.zones]
-    config = Section(("ZONE", "LOWEST CHANGE", "HIGHEST CHANGE"), zones)
-    return [_instance_table(reply), _engine_table(reply), config]
+    zones = [(zone.zone, zone.lowest_applied, zone.highest_applied) for zone in reply.zones]
+    configuration = Section(("ZONE", "LOWEST CHANGE", "HIGHEST CHANGE"), zones)
+    return [_instance_table(reply), _engine_table(reply), configuration]
 
 
 def _drain_sections(reply: pb.DrainReply) -> list[Section]:
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/session.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/session.py
@@ -1,7 +1,8 @@
-"""Calls to one server, with each way they can fail turned into a value.
+"""Makes calls to one server and returns their failures as values.
 
-A connection is made before the first call is sent, so that "unreachable" means that nothing was
-sent. After that a lost reply to a call with an effect is an unknown outcome, never "not run".
+The session connects before it sends the first call, so the error "unreachable" there means that
+nothing was sent. After that, a lost reply to a call that changes something is an unknown outcome,
+never "not run".
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 Request = TypeVar("Request")
 Reply = TypeVar("Reply")
 
-# A reply over a size limit would be dropped by the client after the request had run.
+# No limit on the size of replies: the client would drop a larger one after the request had run.
 CHANNEL_OPTIONS: Final = (("grpc.max_receive_message_length", -1), ("grpc.enable_retries", 0))
 
-# Only a server that refused the call before it did anything answers these.
+# A server returns these codes only if it refused the call before doing anything.
 REFUSAL_CODES: Final = frozenset(
     {
         grpc.StatusCode.INVALID_ARGUMENT,
@@ -35,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallError:
-    """A call without a reply.
+    """The failure of a call that returned no reply.
 
     Attributes:
-        exit_code: One of `exits`.
-        message: What happened and what to do.
+        exit_code: One of the codes of `exits`.
+        message: What happened, and what the operator can do.
     """
 
     exit_code: int
@@ -47,18 +48,18 @@
 
 
 LostReplyHandler = Callable[[str, str], CallError]
-"""Tells what a lost reply means, from the status code's name and its details."""
+"""Returns the error for a lost reply, given the name of the status code and its details."""
 
 
 class Session:
     """A connection to one server.
 
     Attributes:
-        server: Its address, `HOST:PORT`.
-        timeout: Seconds that connecting, and each call, may take.
-        catalogue: Stub of the configuration.
-        requests: Stub of the requests.
-        fleet: Stub of the fleet.
+        server: Address of the server, `HOST:PORT`.
+        timeout: Timeout in seconds for connecting and for each call.
+        catalogue: Stub of the service for configuration entries.
+        requests: Stub of the service for requests.
+        fleet: Stub of the service for the state of the fleet.
     """
 
     __slots__ = ("_channel", "catalogue", "fleet", "requests", "server", "timeout")
@@ -72,7 +73,7 @@
         self.fleet = rpc.FleetStub(self._channel)
 
     def connect(self) -> CallError | None:
-        """Waits until the connection stands; returns an error if it does not within the timeout."""
+        """Connects to the server; returns an error if that takes longer than the timeout."""
         ready = grpc.channel_ready_future(self._channel)
         try:
             ready.result(timeout=self.timeout)
@@ -96,13 +97,13 @@
         """Makes one call.
 
         Args:
-            method: The call, of one of the stubs.
-            request: Its request.
-            lost: What a lost reply means; None for a call that only reads.
-            missing: What "not found" means; None for the usual meaning.
+            method: A method of one of the stubs.
+            request: The request message.
+            lost: Returns the error for a lost reply; None for a call that only reads.
+            missing: The error for the status "not found"; None for the default one.
 
         Returns:
-            The reply, or why there is none.
+            The reply, or the error if there is none.
         """
         try:
             return method(request, timeout=self.timeout)
@@ -111,18 +112,19 @@
                 return missing
             return self.error_of_failed_call(exc, lost or self._lost_read_reply)
         except KeyboardInterrupt:
-            meaning = lost or self._lost_read_reply
-            return meaning(grpc.StatusCode.CANCELLED.name, texts.INTERRUPTED_CALL)
+            handler = lost or self._lost_read_reply
+            return handler(grpc.StatusCode.CANCELLED.name, texts.INTERRUPTED_CALL)
 
     def error_of_failed_call(
         self, exc: grpc.RpcError, lost: LostReplyHandler, *, reply_started: bool = False
     ) -> CallError:
-        """Returns what a failed call means.
+        """Returns the error for a failed call.
 
         Args:
-            exc: How it failed.
-            lost: What a lost reply means.
-            begun: Whether part of the reply has come, so that the call can't have been refused.
+            exc: The exception that the call raised.
+            lost: Returns the error for a lost reply.
+            reply_started: Whether part of the reply has arrived, so that the server can't have
+                refused the call.
         """
         code, details = _code_and_details(exc)
         if reply_started:
@@ -139,11 +141,13 @@
 
 
 def lost_reply_handler(text: str, **values: str) -> LostReplyHandler:
-    """Returns the meaning of a lost reply to a call with an effect: an unknown outcome.
+    """Returns the handler of lost replies for a call that changes something.
+
+    Its error has the exit code for an unknown outcome.
 
     Args:
-        text: The message, with places for `code`, `details` and the values.
-        values: What fills the other places of the message.
+        text: The message, with placeholders for `code`, `details` and the keys of `values`.
+        values: Values for the other placeholders of the message.
     """
 
     def lost(code: str, details: str) -> CallError:
@@ -153,7 +157,7 @@
 
 
 def _code_and_details(exc: grpc.RpcError) -> tuple[grpc.StatusCode, str]:
-    """Returns the code and the details of a failed call."""
+    """Returns the status code and the details of a failed call."""
     if isinstance(exc, grpc.Call):
         return exc.code(), exc.details() or ""
     return grpc.StatusCode.UNKNOWN, str(exc)
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/teamtable.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/teamtable.py
@@ -1,7 +1,7 @@
-"""What teams used of their quotas, added up over the metrics of all instances.
+"""Sums up the quota usage of teams over the metrics of all instances.
 
-Each instance counts what it let in and what it refused since its start. An instance that can't be
-read is named, as the sums lack its part.
+Each instance counts the requests that it has admitted and refused since its start. The `teams`
+command names each instance whose metrics can't be read, since the sums lack its counts.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-READ_TIMEOUT_S: Final = 5.0  # Seconds for one instance's metrics.
+READ_TIMEOUT_S: Final = 5.0  # For one instance's metrics.
 UNITS_METRIC: Final = "wigeonarch_gateway_quota_units_total"
 REQUESTS_METRIC: Final = "wigeonarch_gateway_quota_requests_total"
 RATE_METRIC: Final = "wigeonarch_gateway_quota_rate"
@@ -26,15 +26,16 @@
 
 @dataclass(slots=True)
 class TeamUsage:
-    """What one team used.
+    """The quota and the usage of one team.
 
     Attributes:
-        rate: Its quota in units a second, the newest that an instance knows; None without one.
-        burst: Units besides.
-        units: Units of the requests that were let in.
-        requests: Their number.
-        refused_units: Units of those that were refused.
-        refused_requests: Their number.
+        rate: Its quota in units per second, as reported by the last instance that was read; None
+            without a quota.
+        burst: The burst of its quota, in units; None without a quota.
+        units: Units of the admitted requests.
+        requests: Number of admitted requests.
+        refused_units: Units of the refused requests.
+        refused_requests: Number of refused requests.
     """
 
     rate: float | None = None
@@ -46,13 +47,13 @@
 
 
 def read_metrics(address: str) -> str:
-    """Returns an instance's metrics.
+    """Returns an instance's metrics in the Prometheus text format.
 
     Args:
-        address: `HOST:PORT` of its metrics.
+        address: `HOST:PORT` of its metrics endpoint.
 
     Raises:
-        OSError: They can't be read.
+        OSError: The metrics can't be read.
     """
     url = f"http://{address}/metrics"
     try:
@@ -64,44 +65,44 @@
 
 
 def sum_usage(pages: Iterable[str]) -> dict[str, TeamUsage]:
-    """Returns what each team used, by the metrics of several instances."""
+    """Returns the usage of each team, summed over the metrics of several instances."""
     teams: dict[str, TeamUsage] = {}
     for page in pages:
         for family in text_string_to_metric_families(page):
             for sample in family.samples:
                 if "team" in sample.labels:
-                    use = teams.setdefault(sample.labels["team"], TeamUsage())
-                    _add_sample(use, sample.name, sample.labels.get("outcome", ""), sample.value)
+                    usage = teams.setdefault(sample.labels["team"], TeamUsage())
+                    _add_sample(usage, sample.name, sample.labels.get("outcome", ""), sample.value)
     return teams
 
 
-def _add_sample(use: TeamUsage, name: str, outcome: str, value: float) -> None:
+def _add_sample(usage: TeamUsage, name: str, outcome: str, value: float) -> None:
     if name == RATE_METRIC:
-        use.rate = value
+        usage.rate = value
     elif name == BURST_METRIC:
-        use.burst = value
+        usage.burst = value
     elif name == UNITS_METRIC and outcome == ADMITTED:
-        use.units += value
+        usage.units += value
     elif name == UNITS_METRIC:
-        use.refused_units += value
+        usage.refused_units += value
     elif name == REQUESTS_METRIC and outcome == ADMITTED:
-        use.requests += value
+        usage.requests += value
     elif name == REQUESTS_METRIC:
-        use.refused_requests += value
+        usage.refused_requests += value
 
 
 def format_table(teams: dict[str, TeamUsage]) -> str:
-    """Returns a table for people, the team with the most refused units first."""
+    """Returns a table for operators, sorted by refused units in descending order."""
     ranked = sorted(teams.items(), key=lambda item: (-item[1].refused_units, item[0]))
-    rows = [COLUMNS, *(_format_row(name, use) for name, use in ranked)]
-    widths = [max(len(row[place]) for row in rows) for place in range(len(COLUMNS))]
+    rows = [COLUMNS, *(_format_row(name, usage) for name, usage in ranked)]
+    widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     return "".join(_format_line(row, widths) for row in rows)
 
 
-def _format_row(name: str, use: TeamUsage) -> tuple[str, ...]:
-    figures = (use.rate, use.burst, use.units, use.requests, use.refused_units)
+def _format_row(name: str, usage: TeamUsage) -> tuple[str, ...]:
+    figures = (usage.rate, usage.burst, usage.units, usage.requests, usage.refused_units)
     shown = ("-" if figure is None else f"{figure:.0f}" for figure in figures)
-    return (name, *shown, f"{use.refused_requests:.0f}")
+    return (name, *shown, f"{usage.refused_requests:.0f}")
 
 
 def _format_line(row: Sequence[str], widths: Sequence[int]) -> str:
--- a/packages/wigeonarch-ctl/src/wigeonarch_ctl/texts.py
+++ b/packages/wigeonarch-ctl/src/wigeonarch_ctl/texts.py
@@ -1,4 +1,4 @@
-"""Every text that the command line says to people; each error says what to do."""
+"""Messages of the command line to operators; each error message says what to do next."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
     "instance is up, or name another instance."
 )
 READ_LOST: Final = (
-    "No reply from {server} ({code}: {details}). Ask again, or name another instance."
+    "No reply from {server} ({code}: {details}). Repeat the command, or name another instance."
 )
 REFUSED: Final = "Refused ({code}: {details}); nothing was done. Correct the command."
 NOT_FOUND: Final = "Not found: {details}. Check the name with the `list` command."
 CHANGE_NOT_FOUND: Final = (
-    "No change is known under {operation_id}; its first try may still be on the way. Repeat the "
-    "command that made it with --operation-id {operation_id}: it is made at most once."
+    "No change with operation id {operation_id} is known; the first attempt may still be in "
+    "progress. Repeat the command that made it with --operation-id {operation_id}: the change "
+    "takes effect at most once."
 )
-LOGS_HELP: Final = "read these log files of instances instead of asking one"
-METRICS_HELP: Final = "addresses of all instances' metrics; their figures are added up"
+LOGS_HELP: Final = "read these log files of instances instead of calling an instance"
+METRICS_HELP: Final = "addresses of the metrics of all instances; their values are summed"
 UNREADABLE_FILE: Final = "{path}: {reason}"
 DECISIONS_NOT_FOUND: Final = (
-    "This instance has no decisions about that request. Ask the instance that received it; "
-    "`wigeonctl lookup` names it."
+    "This instance has recorded no decisions about that request. Ask the instance that received "
+    "it; `wigeonctl lookup` names it."
 )
 MUTATION_LOST: Final = (
-    "No reply ({code}: {details}); the change may have been made. Ask what became of it with: "
+    "No reply ({code}: {details}); the change may have been made. Look up its status with: "
     "wigeonctl change {operation_id}"
 )
 SUBMIT_LOST: Final = (
@@ -38,18 +39,18 @@
     "since it is idempotent."
 )
 SUBMIT_LOST_WITH_KEY: Final = (
-    "No reply ({code}: {details}); the request may have run. Ask what became of it with: "
+    "No reply ({code}: {details}); the request may have run. Look up its outcome with: "
     "wigeonctl lookup --service {service} --key {key}"
 )
 DRAIN_LOST: Final = (
-    "No reply ({code}: {details}); the instance may be draining. Look with `wigeonctl status`; "
-    "draining again is safe."
+    "No reply ({code}: {details}); the instance may be draining. Check with `wigeonctl status`; "
+    "repeating the command is safe."
 )
 STREAM_CHUNKS_MISSING: Final = "the stream skipped from chunk {expected} to {found}"
-STREAM_INCOMPLETE: Final = "the stream closed before its end"
+STREAM_INCOMPLETE: Final = "the stream closed before its final event"
 INTERRUPTED_CALL: Final = "interrupted"
 INTERRUPTED: Final = (
-    "Interrupted; what was asked for may have been done. Look before asking for it again."
+    "Interrupted; the command may have taken effect. Check that before you repeat it."
 )
 INSTANCE_BEHIND: Final = (
     "This instance has {name} at version {found}, older than version {expected}; nothing was sent. "
@@ -71,12 +72,12 @@
 
 ADVICE_BY_STATUS: Final[dict[int, str]] = {
     pb.STATUS_PENDING: (
-        "Pending: not yet known to be in force in every zone. Ask again with: "
+        "Pending: not yet known to be in force in every zone. Check again with: "
         "wigeonctl change {operation_id}"
     ),
     pb.STATUS_REJECTED_CONFLICT: (
         "Conflict: nothing was changed; the entry is at version {entry_version} (0: it does not "
-        "exist). Look at it with the `get` command, then repeat with that --expected-version."
+        "exist). Check it with the `get` command, then repeat with that --expected-version."
     ),
     pb.STATUS_REJECTED_INVALID: "Invalid: nothing was changed. Correct what the message names.",
     pb.STATUS_UNAVAILABLE: (
@@ -85,7 +86,7 @@
     ),
 }
 ADVICE_UNKNOWN_STATUS: Final = (
-    "Unknown status {status}; the change may have been made. Update wigeonctl, then ask with: "
+    "Unknown status {status}; the change may have been made. Update wigeonctl, then check with: "
     "wigeonctl change {operation_id}"
 )
 
@@ -103,22 +104,22 @@
     ),
 }
 ADVICE_UNKNOWN_OUTCOME: Final = (
-    "Outcome {outcome} is not one that this wigeonctl knows; it may have run. Update wigeonctl, "
-    "then ask with: wigeonctl lookup {request_id}"
+    "Unknown outcome {outcome}; the request may have run. Update wigeonctl, "
+    "then check with: wigeonctl lookup {request_id}"
 )
 RETRY_AFTER: Final = " in {seconds:g} s"
-RETRY_AFTER_FIX: Final = ", but only once the reason is mended"
+RETRY_AFTER_FIX: Final = ", but only after the cause has been fixed"
 
 LOOKUP_NOT_KNOWN: Final = (
     "Nothing is known of that request: it was never received, or its record has been dropped."
 )
-LOOKUP_RUNNING: Final = "The request has not ended; ask again."
-LOOKUP_UNKNOWN: Final = "The state of the request is not one that this wigeonctl knows; update it."
+LOOKUP_RUNNING: Final = "The request has not ended; repeat the command later."
+LOOKUP_UNKNOWN: Final = "The state of the request is unknown to this wigeonctl; update wigeonctl."
 NOT_DRAINING: Final = "The instance is not draining. Repeat the command."
 
 
 def change_advice(reply: pb.MutateReply, operation_id: str) -> str:
-    """Returns what to do about a change that is not accepted."""
+    """Returns the advice for a change that is not accepted."""
     text = ADVICE_BY_STATUS.get(reply.status, ADVICE_UNKNOWN_STATUS)
     return text.format(
         status=reply.status,
@@ -129,13 +130,13 @@
 
 
 def request_advice(reply: pb.SubmitReply) -> str:
-    """Returns what to do about a request that is not answered."""
+    """Returns the advice for a request whose outcome is not "answered"."""
     text = ADVICE_BY_OUTCOME.get(reply.outcome, ADVICE_UNKNOWN_OUTCOME)
     seconds = reply.retry_after_s
     return text.format(
         outcome=reply.outcome,
         reason=reply.reason,
-        message=reply.message or "no more is told",
+        message=reply.message or "no details given",
         request_id=reply.request_id,
         when=RETRY_AFTER.format(seconds=seconds) if seconds > 0 else RETRY_AFTER_FIX,
     )
--- a/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_plot.py
+++ b/packages/wigeonarch-fakes/src/wigeonarch_fakes/bench_plot.py
@@ -1,4 +1,4 @@
-"""Plots of the policy bench; needs the optional extra `bench`."""
+"""Plots of the policy benchmark; needs the optional extra `bench`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def write_plot(results: Results, path: Path) -> bool:
-    """Writes bars of the main figures as PNG; False when the plotting library is missing."""
+    """Writes bar charts of the main figures as PNG; False without the plotting library."""
     try:
         import matplotlib
     except ImportError:
